--- a/tealhook/wire/workers.py
+++ b/tealhook/wire/workers.py
@@ -1,66 +1,97 @@
-"""Workers <-> controllers: reports, commands and the answers to both."""
+"""Workers <-> controllers: heartbeats, commands and the answers to both.
+
+Field names are the field's terms; `name=` gives the name that the protocol has for each of them.
+"""
 
 from __future__ import annotations
 
+import enum
+
 import msgspec
 
-LAUNCH, KILL, CLEAR = "launch", "kill", "clear"
-REPORT_PATH = "/v1/report"
-EXITED = "exited"
-ALIVE = ("pulling", "running", "flushing")
-ANSWER_S = 4.0  # a worker drops answers to a report that come later
-UNANSWERED_S = ANSWER_S + 1.0 + 0.5  # then it tries the next node 1 s later, and is sent on within 0.5 s
+HEARTBEAT_PATH = "/v1/report"
+ANSWER_TIMEOUT_S = 4.0  # a worker drops answers to a heartbeat that come later
+FAILOVER_S = ANSWER_TIMEOUT_S + 1.0 + 0.5  # then it tries the next node 1 s later, and is redirected within 0.5 s
+MAX_TASK_INDEX_DIGITS = 6
+
+
+class TaskStatus(enum.StrEnum):
+    """The state of a task on its machine."""
+
+    FETCHING = "pulling"
+    RUNNING = "running"
+    CHECKPOINTING = "flushing"
+    EXITED = "exited"
+
+
+class ExitCause(enum.StrEnum):
+    """Why a task has exited, or was not started."""
+
+    DONE = "done"
+    STOPPED = "halted"
+    ERROR = "error"
+    FULL = "full"
+    BUSY = "busy"
+    UNKNOWN = "unknown"
+
+
+class CommandAction(enum.StrEnum):
+    """What a worker is told to do with a task."""
+
+    START = "launch"
+    STOP = "kill"
+    FORGET = "clear"
 
 
-class Play(msgspec.Struct, omit_defaults=True):
+class TaskReport(msgspec.Struct, omit_defaults=True):
     """One task on a machine as its worker reports it."""
 
-    play: str
+    task: str = msgspec.field(name="play")
     attempt: int = msgspec.field(name="try")
     status: str
     cause: str | None = None
     saved: bool | None = None
 
 
-class Report(msgspec.Struct):
-    """A worker's report."""
+class Heartbeat(msgspec.Struct):
+    """A worker's heartbeat, with the status of all tasks on its machine."""
 
-    box: str
-    addr: str
-    rig: str
-    yard: str
-    shift: int
-    tick: int
-    baton: int = 0
-    loaners: bool = False
-    warning_s: float | None = None
-    plays: list[Play] | None = None
+    machine: str = msgspec.field(name="box")
+    address: str = msgspec.field(name="addr")
+    machine_type: str = msgspec.field(name="rig")
+    zone: str = msgspec.field(name="yard")
+    session: int = msgspec.field(name="shift")
+    sequence: int = msgspec.field(name="tick")
+    fencing_token: int = msgspec.field(default=0, name="baton")
+    spot: bool = msgspec.field(default=False, name="loaners")
+    termination_notice_s: float | None = msgspec.field(default=None, name="warning_s")
+    tasks: list[TaskReport] | None = msgspec.field(default=None, name="plays")
 
 
-class Order(msgspec.Struct, omit_defaults=True):
+class Command(msgspec.Struct, omit_defaults=True):
     """A command to a worker."""
 
-    verb: str
-    play: str
+    action: str = msgspec.field(name="verb")
+    task: str = msgspec.field(name="play")
     attempt: int = msgspec.field(name="try")
-    wind_down_s: float | None = None
+    grace_period_s: float | None = msgspec.field(default=None, name="wind_down_s")
 
 
-class Orders(msgspec.Struct, omit_defaults=True):
-    """Commands under a fencing token; `shift` only on direct commands."""
+class CommandBatch(msgspec.Struct, omit_defaults=True):
+    """Commands under a fencing token; `session` only on direct commands."""
 
-    baton: int
-    orders: list[Order]
-    shift: int | None = None
+    fencing_token: int = msgspec.field(name="baton")
+    commands: list[Command] = msgspec.field(name="orders")
+    session: int | None = msgspec.field(default=None, name="shift")
 
 
-report_decoder = msgspec.json.Decoder(Report)
-orders_decoder = msgspec.json.Decoder(Orders)
+heartbeat_decoder = msgspec.json.Decoder(Heartbeat)
+command_batch_decoder = msgspec.json.Decoder(CommandBatch)
 
 
-def split_play(play: str) -> tuple[str, int] | None:
+def parse_task_id(task: str) -> tuple[str, int] | None:
     """`req-000412/3` -> (`req-000412`, 3); None when it has another form."""
-    job, _, index = play.rpartition("/")
-    if not job or not index.isdecimal() or len(index) > 6:
+    job, _, index = task.rpartition("/")
+    if not job or not index.isdecimal() or len(index) > MAX_TASK_INDEX_DIGITS:
         return None
     return job, int(index)
--- a/tests/simulation/reports.py
+++ b/tests/simulation/reports.py
@@ -6,12 +6,13 @@
 from typing import TYPE_CHECKING
 
 from tests.simulation.requests import make_request
+from tests.versions import owned_partitions
 
 if TYPE_CHECKING:
     from tests.simulation.network import Network
 
 
-class Report:
+class Heartbeat:
     """A report, or a copy of one, that is yet to arrive."""
 
     __slots__ = ("machine", "zone", "node", "body", "token", "shift", "tick")
@@ -28,29 +29,29 @@
 
     def __init__(self, network: Network) -> None:
         self.network = network
-        self._kept: list[Report] = []  # copies for the next owner
-        self._back: list[Report] = []  # reports held back
+        self._kept: list[Heartbeat] = []  # copies for the next owner
+        self._back: list[Heartbeat] = []  # reports held back
 
     def copy(self, node: str, body: bytes) -> None:
         """Copies of a report that arrive again, later."""
         world, net = self.network.world, self.network
         lease_s = world.settings.params.workers.lease_s
         if world.rng.random() < net.copies:
-            report = Report(node, body)
+            report = Heartbeat(node, body)
             world.at(world.rng.uniform(0.5, 4 * lease_s), lambda: self._arrive_late(report, node, "copy"))
         if net.chance(net.late_reports):
-            report = Report(node, body)
+            report = Heartbeat(node, body)
             for other in sorted({node, world.rng.choice(world.names)}):
                 world.at(
                     world.rng.uniform(2.0, 3 * lease_s),
                     lambda other=other: self._arrive_late(report, other, "late report"),
                 )
         if net.chance(net.for_next):
-            self._kept.append(Report(node, body))
+            self._kept.append(Heartbeat(node, body))
 
     def hold_back(self, node: str, body: bytes) -> None:
         """Keep a report itself until the next owner has launched something."""
-        self._back.append(Report(node, body))
+        self._back.append(Heartbeat(node, body))
 
     def answered(self, node: str, who: str, data: bytes) -> None:
         """An owner that launches something has acted: what was held back since before it arrives there now."""
@@ -78,7 +79,7 @@
                     lambda report=report, node=node: self._arrive_late(report, node, "copy for the next owner"),
                 )
 
-    def _arrive_late(self, report: Report, node: str, kind: str) -> None:
+    def _arrive_late(self, report: Heartbeat, node: str, kind: str) -> None:
         """Nobody waits for the answer any more."""
         world, happened = self.network.world, self.network.happened
         controller = world.nodes.get(node)
@@ -86,7 +87,7 @@
             return
         machine = world.cloud.machines.get(report.machine)
         happened[kind] += 1
-        happened[f"{kind}: at its owner"] += report.zone in controller.parts.parts
+        happened[f"{kind}: at its owner"] += report.zone in owned_partitions(controller)
         if machine is not None:
             happened[f"{kind}: after newer ones"] += machine.tick > report.tick
             happened[f"{kind}: of an earlier session"] += machine.shift > report.shift
--- a/tests/simulation/rules.py
+++ b/tests/simulation/rules.py
@@ -6,6 +6,7 @@
 from typing import TYPE_CHECKING
 
 from tests import pipelines
+from tests.versions import active_jobs, owned_partitions
 
 if TYPE_CHECKING:
     from tests.simulation.jobs import SimJob
@@ -13,7 +14,7 @@
     from tests.world import World
 
 CALM_ANSWER_S = 75.0  # once all troubles are over, some question about each accepted job is answered in that time
-ANSWER_S = 90.0  # and in troubles in that time, if most others' are
+ANSWER_TIMEOUT_S = 90.0  # and in troubles in that time, if most others' are
 LEFT_S = 90.0  # so long no job waits beside room for it, once all troubles are over
 
 
@@ -85,9 +86,9 @@
         """Whether some node that takes itself for the owner of a machine has not seen its task's job end."""
         job_id = key[0].rpartition("/")[0]
         return any(
-            machine.name in part.machines and job_id in node.book.active
+            machine.name in partition.machines and job_id in active_jobs(node)
             for node in self.world.nodes.values()
-            for part in node.parts.parts.values()
+            for partition in owned_partitions(node).values()
         )
 
     def check(self) -> None:
@@ -126,7 +127,7 @@
 
     def _check_forgotten(self) -> None:
         """Questions about every accepted job are answered, at the latest once all troubles are over."""
-        while self._polls and self._polls[0][0] < self.world.now - ANSWER_S:
+        while self._polls and self._polls[0][0] < self.world.now - ANSWER_TIMEOUT_S:
             self._polls.popleft()
         for job_id, job in self.world.jobs.items():
             if not job.accepted or job.unanswered_since is None:
@@ -136,7 +137,7 @@
                 raise BrokenRuleError(
                     f"forgotten: no question about {job_id} is answered since {job.unanswered_since:.1f}"
                 )
-            if self.world.now - max(job.unanswered_since, job.accepted_at) > ANSWER_S:
+            if self.world.now - max(job.unanswered_since, job.accepted_at) > ANSWER_TIMEOUT_S:
                 others = [answered for _, other, answered in self._polls if other != job_id]
                 if sum(others) > len(others) / 2:
                     raise BrokenRuleError(
--- a/tests/test_bad_input.py
+++ b/tests/test_bad_input.py
@@ -7,7 +7,8 @@
 import pytest
 
 from tealhook.jobs.index import parse_record
-from tealhook.wire.users import JobSpec, parse_job
+from tealhook.wire.job_parser import parse_job
+from tealhook.wire.users import JobSpec
 from tests.simulation.requests import reads_jobs
 from tests.world import SimJob, World, make_request
 
@@ -335,7 +336,7 @@
 def test_the_table_has_a_good_and_a_bad_case_of_every_field():
     for name in FIELDS:
         assert {status for changes, status in TABLE if list(changes) == [name]} >= {201, 400}, name
-    assert set(FIELDS) | {"name_id"} == set(JobSpec.__struct_fields__)
+    assert set(FIELDS) | {"name_id"} == set(JobSpec.__struct_encode_fields__)
 
 
 @pytest.mark.parametrize("job", NO_IDS, ids=_label)
@@ -385,7 +386,7 @@
         4.0,
         None,
     )
-    assert str(parse_job(text(sent | {"cards": "-0.0"})).cards) == "0.0"
+    assert str(parse_job(text(sent | {"cards": "-0.0"})).gpus) == "0.0"
 
 
 def test_records_that_leave_out_defaults_stay_readable():
@@ -401,8 +402,8 @@
         "memory_gb": 4.0,
     }
     record = parse_record({"t": "team-0", "st": "active", "s": kept, "at": 1e9})
-    assert record.s == JobSpec("req-1", "x", "team-0", "array", "low", 3, 2.0, 4.0)
-    assert record.s.playbook is None and not record.s.loaners and record.s.cards == 0.0
+    assert record.spec == JobSpec("req-1", "x", "team-0", "array", "low", 3, 2.0, 4.0)
+    assert record.spec.image is None and not record.spec.allows_spot and record.spec.gpus == 0.0
     with pytest.raises(ValueError, match="missing"):
         parse_job(json.dumps(kept).encode())
 
@@ -421,11 +422,11 @@
     hear_late(desk.world)
     first = "req-first"
     assert desk.submit(first)[0] == 201
-    assert [first in node.book.active for node in desk.world.nodes.values()] == [True, False, False]
+    assert [first in node.job_index.active for node in desk.world.nodes.values()] == [True, False, False]
     status, answer, _after, _took = desk.ask("POST", "/work", odd_bodies(first)[0], "n1")
     assert (status, answer["status"]) == (200, "pending")
     _assert_known(desk, first, {"pending", "running"})
-    assert all(first in node.book.active for node in desk.world.nodes.values())
+    assert all(first in node.job_index.active for node in desk.world.nodes.values())
     assert desk.abort(first, "n2")[1]["status"] == "cancelled"
 
 
@@ -443,8 +444,8 @@
         _assert_known(desk, job, {"done"})
         _assert_known(desk, other, {"cancelled"})
         for node in world.nodes.values():
-            node.book.ended.clear()
-            node.book.complete = False
+            node.job_index.ended.clear()
+            node.job_index.is_complete = False
 
 
 def test_a_repeat_is_not_answered_from_an_old_view():
@@ -458,7 +459,7 @@
     for node, body in zip(("n1", "n2"), (odd_bodies("req-1")[0], odd_bodies("req-1")[-1]), strict=True):
         if node == "n1":
             assert desk.abort("req-1")[1]["status"] == "cancelled"
-        assert "req-1" in world.nodes[node].book.active
+        assert "req-1" in world.nodes[node].job_index.active
         assert desk.ask("POST", "/work", body, node)[:2] == (200, {"name_id": "req-1", "status": "cancelled"})
 
 
@@ -467,9 +468,9 @@
     desk.world.run(20.0)
     assert desk.submit("req-1")[0] == 201
     asked = []
-    store = desk.world.nodes["n0"].store
-    whole = store.txn
-    store.txn = lambda when, *rest, **more: (asked.extend(when), whole(when, *rest, **more))
+    store = desk.world.nodes["n0"].state_client
+    whole = store.transact
+    store.transact = lambda when, *rest, **more: (asked.extend(when), whole(when, *rest, **more))
     assert desk.submit("req-1")[0] == 200
     assert "job/req-1" not in asked
 
@@ -516,7 +517,7 @@
     """Malformed bodies are refused under overload as any other, before a read."""
     desk = Desk(48, nodes=1)
     desk.world.run(20.0)
-    store = desk.world.nodes["n0"].store
+    store = desk.world.nodes["n0"].state_client
     store.backlog = lambda priority: 7.5
     store.get = lambda *args: pytest.fail("read")
     for body in odd_bodies("req-1"):
@@ -537,7 +538,7 @@
             assert desk.abort(done, node)[:2] == (200, {"name_id": done, "status": "done"})
             assert desk.abort("req-1", node)[:2] == (200, {"name_id": "req-1", "status": "cancelled"})
             assert desk.abort("req-unknown", node)[0] == 404
-            world.nodes[node].book.ended.clear()  # then from the state service
+            world.nodes[node].job_index.ended.clear()  # then from the state service
     world.state.outage(True)
     status, _answer, after, _took = desk.abort("req-unknown")
     assert status == 503 and after >= 1  # not 404: nobody could read
--- a/tests/test_boots.py
+++ b/tests/test_boots.py
@@ -10,7 +10,7 @@
 from tests.world import World
 
 READY_S = 20.0
-RIG = MachineType("small", 8.0, 32.0, ready_s=READY_S, yards=["za", "zb"])
+RIG = MachineType("small", 8.0, 32.0, boot_s=READY_S, zones=["za", "zb"])
 
 
 def test_the_time_is_learned_from_boots_and_forgotten():
@@ -39,7 +39,7 @@
 def _rented_in(seed: int, monkeypatch, learns: bool) -> tuple[float, int]:
     """Share of machines rented in a zone in which none comes up, once that can be known; and how many in all."""
     if not learns:
-        monkeypatch.setattr(BootTimes, "expected_s", lambda self, rig, zone, now: rig.ready_s)
+        monkeypatch.setattr(BootTimes, "expected_s", lambda self, rig, zone, now: rig.boot_s)
     world = World(seed, limit=1e6)
     world.cloud.dead_zones = {"za"}
     world.cloud.room = 20
--- a/tests/test_cancellations.py
+++ b/tests/test_cancellations.py
@@ -2,8 +2,8 @@
 
 import pytest
 
-from tealhook.jobs.silence import Silence
-from tealhook.store import part_key
+from tealhook.coordination import partition_key
+from tealhook.scheduling.reconciliation import Reconciliation
 from tests.users import ALIKE
 from tests.world import Broken, World
 
@@ -22,7 +22,9 @@
     ends = 0
     for _ in range(5):
         world.run(9.5)
-        owners = {world.state.rows[part_key(w.yard)][0]["n"] for w in hung if part_key(w.yard) in world.state.rows}
+        owners = {
+            world.state.rows[partition_key(w.yard)][0]["n"] for w in hung if partition_key(w.yard) in world.state.rows
+        }
         for owner in sorted(owners):
             world.crash(owner, 2.0)
             ends += 1
@@ -38,7 +40,7 @@
 
 
 def test_to_count_silence_anew_with_each_owner_is_found_out(monkeypatch):
-    monkeypatch.setattr(Silence, "_patience", lambda self, cancelled_s, silence_s, alone_s: silence_s)
+    monkeypatch.setattr(Reconciliation, "_allowed_silence", lambda self, cancelled_s, silence_s, alone_s: silence_s)
     with pytest.raises(Broken, match="ran_cancelled"):
         for seed in range(3):
             _hung_while_owners_change(seed)
--- a/tests/test_flapping.py
+++ b/tests/test_flapping.py
@@ -4,8 +4,8 @@
 
 import pytest
 
-from tealhook.store import stability
-from tealhook.store.stability import Stability
+from tealhook.coordination import stability
+from tealhook.coordination.stability import Stability
 from tests.users import ALIKE
 from tests.world import World
 
@@ -17,15 +17,15 @@
     stable = Stability(LEASE_S, 0.0)
     pauses = []
     for start in (10.0, 40.0, 70.0, 100.0):
-        stable.note(nodes, nodes - {"a"}, start)
-        stable.note(nodes - {"a"}, nodes, start + 1.0)
+        stable.record_change(nodes, nodes - {"a"}, start)
+        stable.record_change(nodes - {"a"}, nodes, start + 1.0)
         waited = 0.0
-        while not stable.settled(start + 1.0 + waited):
+        while not stable.is_settled(start + 1.0 + waited):
             waited += 0.5
         pauses.append(waited)
     assert pauses == [6.5, 12.5, 24.5, 24.5]
-    stable.note(nodes, nodes - {"a"}, 400.0)
-    assert not stable.settled(406.0) and stable.settled(406.5)
+    stable.record_change(nodes, nodes - {"a"}, 400.0)
+    assert not stable.is_settled(406.0) and stable.is_settled(406.5)
 
 
 def test_several_nodes_lost_once_each_are_no_flapping():
@@ -33,9 +33,9 @@
     nodes = {"a", "b", "c"}
     stable = Stability(LEASE_S, 0.0)
     for position, node in enumerate(sorted(nodes)):
-        stable.note(nodes, nodes - {node}, 10.0 * position)
-        stable.note(nodes - {node}, nodes, 10.0 * position + 1.0)
-    assert stable.settled(21.0 + 6.5)
+        stable.record_change(nodes, nodes - {node}, 10.0 * position)
+        stable.record_change(nodes - {node}, nodes, 10.0 * position + 1.0)
+    assert stable.is_settled(21.0 + 6.5)
 
 
 def _changes_of_owner(seed: int) -> int:
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -17,7 +17,7 @@
     for _ in range(4):
         world.submit(plays=6, expected_s=200.0, loaners=True, yard=None, rigs=None, spread=False, together=False)
     world.run(60.0)
-    owners = [name for name, node in world.nodes.items() if node.parts.parts]
+    owners = [name for name, node in world.nodes.items() if node.partition_manager.partitions]
     up = {name for name, worker in world.cloud.machines.items() if worker.up and worker.on_machine()}
     assert up
     for owner in owners[:1]:
@@ -66,15 +66,16 @@
     """Which of machines of one kind are to be returned, by when each will be empty."""
     world = World(6, nodes=1)
     world.run(10.0)
-    fleet, now, sent = world.nodes["n0"].fleet, world.now, []
+    fleet, now, sent = world.nodes["n0"].fleet_manager, world.now, []
     fleet._machines = {name: RentedMachine(name, "small", "za", True, now - 300.0) for name in empty_s}
     fleet._mesh.send = lambda peer, body: sent.append(body)
     fleet._surplus.clear()
     states = {
-        name: mesh.BoxState(name, "small", True, 4.0, left, 0.0, False, False, False) for name, left in empty_s.items()
+        name: mesh.MachineState(name, "small", True, 4.0, left, 0.0, False, False, False)
+        for name, left in empty_s.items()
     }
     fleet._drain(states, spare_cpus, False, world.nodes["n0"]._variables(), now)
-    return [name for body in sent if isinstance(body, mesh.Drain) for name in body.machines]
+    return [name for body in sent if isinstance(body, mesh.DrainRequest) for name in body.machines]
 
 
 def test_of_spare_machines_those_that_will_be_empty_first_are_returned_first():
@@ -122,7 +123,7 @@
     """Guards against pages asked for without tokens: one refused page costs the whole list, and what it would tell."""
     monkeypatch.setattr("tealhook.wire.cloud.LIST_PAGE", 15)
     world, before = _listed_in_pages()
-    fleet = next(node.fleet for node in world.nodes.values() if node.fleet._token is not None)
+    fleet = next(node.fleet_manager for node in world.nodes.values() if node.fleet_manager._token is not None)
     assert before > 45 and world.cloud.refused <= 2  # a new owner of the fleet does not know what the last one used
     assert fleet._list_ok and set(fleet._machines) >= set(list(world.cloud.machines)[:before])
     world.run(400.0)
@@ -209,15 +210,15 @@
 def test_ordinary_machines_for_a_job_to_be_released_stay_though_they_idle():
     world = World(6, nodes=1)
     world.run(10.0)
-    fleet, now, sent = world.nodes["n0"].fleet, world.now, []
+    fleet, now, sent = world.nodes["n0"].fleet_manager, world.now, []
     fleet._machines = {name: RentedMachine(name, "small", "za", False, now - 300.0) for name in "abc"}
     fleet._mesh.send = lambda peer, body: sent.append(body)
-    states = {name: mesh.BoxState(name, "small", False, 0.0, 0.0, 0.0, False, False, False) for name in "abc"}
+    states = {name: mesh.MachineState(name, "small", False, 0.0, 0.0, 0.0, False, False, False) for name in "abc"}
     kept = []
     for keep in (0.0, 8.0, 24.0):
         sent.clear()
         fleet._surplus.clear()
         fleet._drain(states, 24.0, keep, world.nodes["n0"]._variables(), now)
-        drained = {name for body in sent if isinstance(body, mesh.Drain) for name in body.machines}
+        drained = {name for body in sent if isinstance(body, mesh.DrainRequest) for name in body.machines}
         kept.append(3 - len(drained))
     assert kept == [0, 1, 3]
--- a/tests/test_free_room.py
+++ b/tests/test_free_room.py
@@ -6,18 +6,18 @@
 
 import pytest
 
-from tealhook.parts.free_room import FreeRoom, without
-from tealhook.parts.machine import Machine
+from tealhook.partitions.machine import Machine
+from tealhook.partitions.packing import FreeRoom, without
 from tealhook.wire import workers
 
 
 def _machines(rng: random.Random, count: int) -> list[Machine]:
     machines = []
     for i in range(count):
-        report = workers.Report(f"host-{i}", "10.1.0.1:9000", "small", "za", 1, 1, loaners=rng.random() < 0.5)
+        report = workers.Heartbeat(f"host-{i}", "10.1.0.1:9000", "small", "za", 1, 1, spot=rng.random() < 0.5)
         machine = Machine(report, float(rng.randrange(5)))
         if rng.random() < 0.3:
-            machine.cache("img", 1.0, 10.0)
+            machine.add_image("img", 1.0, 10.0)
         machines.append(machine)
     return machines
 
@@ -34,7 +34,5 @@
         room.set_left(machine, free[machine.name])
         assert room.left(machine) == free[machine.name]
         for image in ("img", ""):
-            in_order = sorted(
-                machines, key=lambda m: (not m.has_image(image), not m.loaners, free[m.name][0], m.heard_at)
-            )
+            in_order = sorted(machines, key=lambda m: (not m.has_image(image), not m.spot, free[m.name][0], m.heard_at))
             assert [m.name for m in room.in_order(image)] == [m.name for m in in_order]
--- a/tests/test_gap.py
+++ b/tests/test_gap.py
@@ -8,8 +8,8 @@
 
 import pytest
 
-from tealhook.parts.manager import PartitionManager
-from tealhook.parts.partition import DRIFT
+from tealhook.partitions.manager import PartitionManager
+from tealhook.partitions.partition import DRIFT
 from tealhook.wire import mesh
 from tealhook.wire import workers as wire
 from tests.test_guards import _answer_for_ever
@@ -21,13 +21,16 @@
 
 def _leader(world: World) -> str:
     """The node with most machines under its parts."""
-    return max(world.nodes, key=lambda name: sum(len(p.machines) for p in world.nodes[name].parts.parts.values()))
+    return max(
+        world.nodes,
+        key=lambda name: sum(len(p.machines) for p in world.nodes[name].partition_manager.partitions.values()),
+    )
 
 
 def _count_answers(monkeypatch: pytest.MonkeyPatch) -> Counter:
     """Answers given with 200 by way of another node, and those that had been held open."""
     counts: Counter = Counter()
-    whole_report, whole_flush = PartitionManager.report, PartitionManager._flush
+    whole_report, whole_flush = PartitionManager.on_heartbeat, PartitionManager._answer_now
 
     def report(self, body, reply, *, relayed=False):
         def counted(status, data):
@@ -41,8 +44,8 @@
         counts["held open"] += held
         return held
 
-    monkeypatch.setattr(PartitionManager, "report", report)
-    monkeypatch.setattr(PartitionManager, "_flush", flush)
+    monkeypatch.setattr(PartitionManager, "on_heartbeat", report)
+    monkeypatch.setattr(PartitionManager, "_answer_now", flush)
     return counts
 
 
@@ -69,7 +72,9 @@
         for worker in world.cloud.machines.values():
             worker.drift = worker_drift
         # Some workers reach the leader by way of others only, so that their reports are relayed; one machine hangs.
-        machines = [name for part in world.nodes[leader].parts.parts.values() for name in part.machines]
+        machines = [
+            name for part in world.nodes[leader].partition_manager.partitions.values() for name in part.machines
+        ]
         for name in machines[::3]:
             world.network.cut(leader, name)
         world.run(6.0)
@@ -118,15 +123,15 @@
     world.submit(plays=2, expected_s=200.0, **ALIKE)
     world.run(30.0)
     node = world.nodes[_leader(world)]
-    part = max(node.parts.parts.values(), key=lambda part: len(part.machines))
-    slot = part.room.reserve(
-        mesh.Reserve(
+    part = max(node.partition_manager.partitions.values(), key=lambda part: len(part.machines))
+    slot = part.capacity.reserve(
+        mesh.ReserveRequest(
             part.zone,
             [
-                mesh.Want(
+                mesh.ReservationRequest(
                     "req-x",
                     "team-0",
-                    mesh.Shape(1.0, 0.0, 1.0, "", 0.0, True, (), 1, 5.0),
+                    mesh.TaskRequirements(1.0, 0.0, 1.0, "", 0.0, True, (), 1, 5.0),
                     1,
                     False,
                     False,
@@ -137,20 +142,22 @@
                 )
             ],
         )
-    ).slots[0][0]
+    ).grants[0][0]
     machine = part.machines[slot.machine]
-    part.launch(mesh.Launch(part.zone, part.token, "team-0", 10**9, [mesh.Start(slot.rid, "req-x", 0, 1)]))
+    part.launch(
+        mesh.LaunchRequest(part.zone, part.token, "team-0", 10**9, [mesh.TaskStart(slot.reservation_id, "req-x", 0, 1)])
+    )
 
     def launches() -> int:
-        return sum(order.verb == wire.LAUNCH for order in part.commands.orders(machine))
+        return sum(command.action == wire.CommandAction.START for command in part.commands.commands_for(machine))
 
     assert launches() == 1
-    viewed_at, node.book.watcher.viewed_at = (
-        node.book.watcher.viewed_at,
-        node._effects.now() - 1.1 * node.ownership.ttl_s,
+    viewed_at, node.job_index.watcher.viewed_at = (
+        node.job_index.watcher.viewed_at,
+        node._effects.now() - 1.1 * node.ownership.lease_ttl_s,
     )
     assert launches() == 0
-    node.book.watcher.viewed_at = viewed_at
+    node.job_index.watcher.viewed_at = viewed_at
     assert launches() == 1
 
 
@@ -158,8 +165,10 @@
 def test_the_chain_from_a_view_to_the_end_of_a_lease_fits(report_s, lease_s, cancel_s):
     """With the worst of each figure: a report sent just before its answer, and nothing said to its worker since."""
     world = World(1, nodes=1, report_s=report_s, lease_s=lease_s, cancel_s=cancel_s)
-    keeper = world.nodes["n0"].parts
-    view_s = keeper._blind_s * max(DRIFTS) / min(DRIFTS)  # the oldest view on which an answer is given, in true time
+    keeper = world.nodes["n0"].partition_manager
+    view_s = (
+        keeper._max_view_age_s * max(DRIFTS) / min(DRIFTS)
+    )  # the oldest view on which an answer is given, in true time
     worker_s = lease_s * max(DRIFTS) / min(DRIFTS) + 0.1  # a worker's lease by the slowest clock, and its own lateness
     assert max(DRIFTS) / min(DRIFTS) <= DRIFT
     assert 0 < view_s + worker_s <= cancel_s
--- a/tests/test_guards.py
+++ b/tests/test_guards.py
@@ -2,15 +2,15 @@
 
 import pytest
 
+from tealhook.admission.admission import Admission
 from tealhook.fleet import FleetManager
-from tealhook.jobs.admission import Admission
-from tealhook.jobs.attempts import Attempts
-from tealhook.jobs.candidates import CandidateSelection
-from tealhook.jobs.commits import Commits
-from tealhook.jobs.scheduler import TeamState
-from tealhook.parts.manager import PartitionManager
-from tealhook.parts.partition import Partition
-from tealhook.store import Outcome, StateClient
+from tealhook.partitions.manager import PartitionManager
+from tealhook.partitions.partition import Partition
+from tealhook.scheduling.attempts import Attempts
+from tealhook.scheduling.candidates import CandidateSelection
+from tealhook.scheduling.commits import Commits
+from tealhook.scheduling.team_scheduler import TeamState
+from tealhook.state_store import Outcome, StateClient
 from tealhook.wire import mesh
 from tealhook.wire import workers as wire
 from tealhook.wire.state import Put
@@ -34,15 +34,15 @@
 
 def _without_conditions(prefix):
     def break_it(patch):
-        whole = StateClient.txn
+        whole = StateClient.transact
 
-        def txn(self, when, apply, *rest, **more):
+        def transact(self, when, apply, *rest, **more):
             kept = {key: stamp for key, stamp in when.items() if not key.startswith(prefix)}
             if not any(isinstance(op, Put) and op.lease is not None for op in apply):  # claims keep theirs
                 when = kept
             whole(self, when, apply, *rest, **more)
 
-        patch.setattr(StateClient, "txn", txn)
+        patch.setattr(StateClient, "transact", transact)
 
     return break_it
 
@@ -51,14 +51,14 @@
     whole = Partition.on_report
 
     def on_report(self, report):
-        report.baton = self.token
+        report.fencing_token = self.token
         return whole(self, report)
 
     patch.setattr(Partition, "on_report", on_report)
 
 
 def _no_limit(patch):
-    patch.setattr(TeamState, "taken", lambda self, which=0: 0.0)
+    patch.setattr(TeamState, "allocated", lambda self, which=0: 0.0)
 
 
 def _no_places(patch):
@@ -74,15 +74,15 @@
 
 
 def _answer_from_memory(patch):
-    whole = Admission.show
+    whole = Admission.answer_poll
 
     def show(self, job, reply):
-        if job in self._book.active:
+        if job in self._job_index.active:
             reply(200, self._status_body(job, "active"))
         else:
             whole(self, job, reply)
 
-    patch.setattr(Admission, "show", show)
+    patch.setattr(Admission, "answer_poll", show)
 
 
 def _answer_for_ever(patch):
@@ -90,7 +90,7 @@
 
     def blind(self, *args, **more):
         whole(self, *args, **more)
-        self._blind_s = 1e9
+        self._max_view_age_s = 1e9
 
     patch.setattr(PartitionManager, "__init__", blind)
 
@@ -192,26 +192,26 @@
     world, news = World(1, nodes=1), []
     world.submit(plays=1, yard="zb", rigs=None, spread=False, together=False, loaners=True, expected_s=200.0)
     world.run(40.0)
-    real = next(part for part in world.nodes["n0"].parts.parts.values() if part.machines)
+    real = next(part for part in world.nodes["n0"].partition_manager.partitions.values() if part.machines)
     part = Partition(
-        real._fx,
+        real._effects,
         world.settings,
         real.zone,
         real.token + 1,
-        real._book,
+        real._job_index,
         real._types,
         {},
         lambda team, told: news.append(told),
         lambda job: None,
     )
     worker = next(w for w in world.cloud.machines.values() if w.name in real.machines)
-    plays = [wire.Play("req-000000/0", 1, "running")]
-    part.room.note_launch("req-000000", "team-0", (1.0, 0.0, 1.0))
+    plays = [wire.TaskReport("req-000000/0", 1, "running")]
+    part.capacity.remember_launch("req-000000", "team-0", (1.0, 0.0, 1.0))
     part.on_report(
-        wire.Report(worker.name, worker.addr, worker.rig["name"], worker.yard, 1, 999, real.token, True, None, plays)
+        wire.Heartbeat(worker.name, worker.addr, worker.rig["name"], worker.yard, 1, 999, real.token, True, None, plays)
     )
-    shape = mesh.Shape(1.0, 0.0, 1.0, "", 0.0, True, (), 1, 5.0)
-    room = part.room.ask([shape]).rooms[0]
+    shape = mesh.TaskRequirements(1.0, 0.0, 1.0, "", 0.0, True, (), 1, 5.0)
+    room = part.capacity.inquire([shape]).capacities[0]
     return news, room.uncached + room.cached
 
 
@@ -235,7 +235,7 @@
     ]
     world.run(15.0)
     world.cloud.down = True  # nor can the machines be released
-    owners = {name for name, node in world.nodes.items() if node.parts.parts}
+    owners = {name for name, node in world.nodes.items() if node.partition_manager.partitions}
     for owner in owners:
         world.network.cut(owner, "state")
         for other in world.names:
--- a/tests/test_guests.py
+++ b/tests/test_guests.py
@@ -4,8 +4,8 @@
 
 import pytest
 
-from tealhook.jobs.candidates import CandidateSelection
-from tealhook.parts.preemption import Preemption
+from tealhook.partitions.preemption import Preemption
+from tealhook.scheduling.candidates import CandidateSelection
 from tests.users import ALIKE
 from tests.world import World
 
@@ -46,7 +46,7 @@
 
 
 def test_to_wait_before_stopping_them_is_found_out(monkeypatch):
-    monkeypatch.setattr(CandidateSelection, "may_preempt_saving", lambda self, candidate: False)
-    monkeypatch.setattr(Preemption, "allowed", lambda self, want: want.preempt)
+    monkeypatch.setattr(CandidateSelection, "may_preempt_checkpointing", lambda self, candidate: False)
+    monkeypatch.setattr(Preemption, "allowed", lambda self, request: request.may_preempt)
     waits = [max(_waits_beside_a_guest(seed)) for seed in range(3)]
     assert max(waits) > 8.0
--- a/tests/test_hearing.py
+++ b/tests/test_hearing.py
@@ -3,9 +3,9 @@
 import pytest
 
 from tealhook.controller import Controller
-from tealhook.parts.manager import PartitionManager
-from tealhook.parts.partition import Partition
-from tealhook.store import Ownership
+from tealhook.coordination import Ownership
+from tealhook.partitions.manager import PartitionManager
+from tealhook.partitions.partition import Partition
 from tests.users import PLAIN
 from tests.world import Broken, World, make_request
 
@@ -40,7 +40,7 @@
 
 
 def test_not_to_notice_deaf_machines_is_found_out(monkeypatch):
-    monkeypatch.setattr(Partition, "_deaf", lambda self, machine, now: None)
+    monkeypatch.setattr(Partition, "_note_commands_lost", lambda self, machine, now: None)
     world, _name = _deaf(900.0)
     assert world.network.swallowed > 40
 
@@ -57,19 +57,21 @@
 def _copies(world: World) -> tuple[Controller, str, list[bytes]]:
     """The owner of a machine, the machine, and copies of its reports."""
     copies: list[tuple[str, bytes]] = []
-    whole = PartitionManager.report
+    whole = PartitionManager.on_heartbeat
 
     def report(self, body, reply, *, relayed=False):
-        copies.append((self._own.node, body))
+        copies.append((self._ownership.node, body))
         whole(self, body, reply, relayed=relayed)
 
-    PartitionManager.report = report
+    PartitionManager.on_heartbeat = report
     try:
         world.run(10.0)
     finally:
-        PartitionManager.report = whole
-    node, zone = next((n, z) for n in world.nodes for z, p in world.nodes[n].parts.parts.items() if p.machines)
-    name = next(iter(world.nodes[node].parts.parts[zone].machines))
+        PartitionManager.on_heartbeat = whole
+    node, zone = next(
+        (n, z) for n in world.nodes for z, p in world.nodes[n].partition_manager.partitions.items() if p.machines
+    )
+    name = next(iter(world.nodes[node].partition_manager.partitions[zone].machines))
     return world.nodes[node], name, [b for n, b in copies if n == node and f'"{name}"'.encode() in b]
 
 
@@ -77,9 +79,9 @@
     whole = Partition.on_report
 
     def on_report(self, report):
-        machine = self.machines.get(report.box)
+        machine = self.machines.get(report.machine)
         if machine is not None:
-            machine.tick, machine.shift = -1, report.shift
+            machine.sequence, machine.session = -1, report.session
         return whole(self, report)
 
     patch.setattr(Partition, "on_report", on_report)
@@ -88,34 +90,34 @@
 @pytest.mark.parametrize("broken", [False, True])
 def test_a_late_copy_is_no_news_and_no_sign_of_life(broken, monkeypatch):
     owner, name, copies = _copies(world := _busy(22))
-    part = next(p for p in owner.parts.parts.values() if name in p.machines)
+    part = next(p for p in owner.partition_manager.partitions.values() if name in p.machines)
     machine = part.machines[name]
     world.cloud.machines[name].hung = True
     world.run(3.0)
-    before = (machine.heard_at, machine.tick, machine.shift, set(machine.held), set(machine.bookings))
+    before = (machine.heard_at, machine.sequence, machine.session, set(machine.tasks), set(machine.reservations))
     told = []
-    part.updates._tell = lambda team, news: told.append(news)
+    part.updates._send = lambda team, news: told.append(news)
     assert len(copies) > 3
     if broken:
         _believe_copies(monkeypatch)
     for body in copies:
         _report(owner, body)
-    after = (machine.heard_at, machine.tick, machine.shift, set(machine.held), set(machine.bookings))
+    after = (machine.heard_at, machine.sequence, machine.session, set(machine.tasks), set(machine.reservations))
     assert (before == after) == (told == []) == (not broken)
 
 
 @pytest.mark.parametrize("broken", [False, True])
 def test_a_late_copy_brings_no_released_machine_back(broken, monkeypatch):
     if broken:
-        monkeypatch.setattr("tealhook.parts.manager.LEAST_GONE", 0)
-        monkeypatch.setattr("tealhook.parts.manager.GONE_LEASES", -1.0)
+        monkeypatch.setattr("tealhook.partitions.manager.LEAST_GONE", 0)
+        monkeypatch.setattr("tealhook.partitions.manager.GONE_LEASES", -1.0)
     owner, name, copies = _copies(world := _busy(23))
     world.cloud.remove(name)
     for node in world.nodes.values():
-        node.parts.forget(name)
+        node.partition_manager.forget_machine(name)
     for body in copies:
         _report(owner, body)
-    assert any(name in part.machines for part in owner.parts.parts.values()) == broken
+    assert any(name in part.machines for part in owner.partition_manager.partitions.values()) == broken
 
 
 def test_a_new_owner_counts_on_nothing_known_from_a_copy():
@@ -128,15 +130,15 @@
     for node in world.nodes.values():
         for body in copies:
             _report(node, body)
-        for part in node.parts.parts.values():
-            assert name not in [state.name for state in part.states()]
-            assert name not in [machine.name for machine in part.room._usable()]
+        for part in node.partition_manager.partitions.values():
+            assert name not in [state.name for state in part.machine_states()]
+            assert name not in [machine.name for machine in part.capacity._usable()]
 
 
 @pytest.mark.parametrize("broken", [False, True])
 def test_work_goes_on_while_controllers_refuse_one_another(broken, monkeypatch):
     if broken:  # a node that reaches no part keeps its homes
-        monkeypatch.setattr(Ownership, "_stranded", lambda self, now: False)
+        monkeypatch.setattr(Ownership, "_is_stranded", lambda self, now: False)
     world = _busy(25)
     world.network.cut_peers()
     world.run(12.0)  # time for a home to move to a node that reaches a part
--- a/tests/test_job_records.py
+++ b/tests/test_job_records.py
@@ -5,14 +5,14 @@
 import msgspec
 import pytest
 
-from tealhook.jobs import admission
-from tealhook.jobs.index import CANCELLED, DONE, JobRecord
+from tealhook.admission import admission
+from tealhook.jobs.index import JobRecord, JobState
 from tealhook.jobs.job import Job
 from tealhook.jobs.records import JobRecords, ending
-from tealhook.store import Outcome, Priority
+from tealhook.state_store import CallPriority, Outcome
 from tealhook.wire import state as state_wire
 from tealhook.wire.common import dumps
-from tealhook.wire.state import Row
+from tealhook.wire.state import KeyValue
 from tests.test_records import LIMIT, _job, _stage
 from tests.users import ALIKE
 from tests.world import World
@@ -30,7 +30,7 @@
         self.calls.append((key, priority, wait, timeout))
         self.answer = done
 
-    def txn(self, when, apply, priority, done, wait, timeout) -> None:
+    def transact(self, when, apply, priority, done, wait, timeout) -> None:
         self.calls.append((when, apply, priority, wait, timeout))
         self.answer = done
 
@@ -41,7 +41,7 @@
     def __init__(self) -> None:
         self.learned: list[tuple] = []
 
-    def learn(self, job, record, version) -> None:
+    def apply_record(self, job, record, version) -> None:
         self.learned.append((job, record, version))
 
 
@@ -60,7 +60,7 @@
 def test_an_end_is_conditional_on_the_version_that_was_read():
     """Guards against two ends of one job: of its user, of its last task, of a job that it needs."""
     records, _store, _index = _records()
-    condition, change = ending("req-1", records.ended("team", DONE), 41)
+    condition, change = ending("req-1", records.ended("team", JobState.DONE), 41)
     assert condition == {"job/req-1": 41}
     assert msgspec.to_builtins(change) == {"write": "job/req-1", "v": {"t": "team", "st": "done", "at": 1234.6}}
     assert list(change.value) == ["t", "st", "at"]  # as ever: what has been written stays alike
@@ -69,7 +69,7 @@
 def _end() -> tuple[_Store, _Index, list]:
     records, store, index = _records()
     told: list[tuple] = []
-    ends = {job: (records.ended("team", CANCELLED), version) for job, version in (("a", 3), ("b", 9))}
+    ends = {job: (records.ended("team", JobState.CANCELLED), version) for job, version in (("a", 3), ("b", 9))}
     records.end(ends, lambda outcome, uncertain: told.append((outcome, uncertain, len(index.learned))), 0.5, 1.5)
     return store, index, told
 
@@ -81,16 +81,16 @@
         (
             {"job/a": 3, "job/b": 9},
             [state_wire.Put("job/a", after), state_wire.Put("job/b", after)],
-            Priority.ADMIT,
+            CallPriority.ADMIT,
             0.5,
             1.5,
         )
     ]
     store.answer(Outcome.OK, 12, [])
     assert told == [(Outcome.OK, [], 2)]
-    assert [(job, record.st, version) for job, record, version in index.learned] == [
-        ("a", CANCELLED, 12),
-        ("b", CANCELLED, 12),
+    assert [(job, record.status, version) for job, record, version in index.learned] == [
+        ("a", JobState.CANCELLED, 12),
+        ("b", JobState.CANCELLED, 12),
     ]
 
 
@@ -113,18 +113,18 @@
 def test_a_read_is_learned_before_anybody_is_told_and_a_fetch_never():
     records, store, index = _records()
     told: list[tuple] = []
-    record = JobRecord("team", DONE, at=7.5)
-    records.read("a", lambda *what: told.append((*what, len(index.learned))), Priority.ADMIT, 0.5, 1.5)
-    assert store.calls == [("job/a", Priority.ADMIT, 0.5, 1.5)]
-    store.answer("ok", Row("job/a", ROW, 8))
+    record = JobRecord("team", JobState.DONE, at=7.5)
+    records.read("a", lambda *what: told.append((*what, len(index.learned))), CallPriority.ADMIT, 0.5, 1.5)
+    assert store.calls == [("job/a", CallPriority.ADMIT, 0.5, 1.5)]
+    store.answer("ok", KeyValue("job/a", ROW, 8))
     assert told == [("ok", record, 8, 1)] and index.learned == [("a", record, 8)]
     records.fetch("a", lambda *what: told.append(what))
-    store.answer("ok", Row("job/a", ROW, 9))
+    store.answer("ok", KeyValue("job/a", ROW, 9))
     assert told[1:] == [("ok", record, 9)] and len(index.learned) == 1
 
 
 @pytest.mark.parametrize(
-    ("kind", "row"), [("absent", None), ("unknown", None), ("ok", Row("job/a", {"st": ["no", "record"]}, 8))]
+    ("kind", "row"), [("absent", None), ("unknown", None), ("ok", KeyValue("job/a", {"st": ["no", "record"]}, 8))]
 )
 def test_without_a_record_nothing_is_learned(kind, row):
     records, store, index = _records()
@@ -154,7 +154,7 @@
     _stage(job, range(100), 0)
     job.attempts, job.staged = job.staged, {}
     for attempt in job.attempts.values():
-        attempt.piece = 0
+        attempt.chunk = 0
     encoded: list[int] = []
     whole = Job.encode
 
@@ -165,4 +165,4 @@
     monkeypatch.setattr(Job, "encode", encode)
     written = job.lay_out(LIMIT, 7)
     assert encoded == [0]
-    assert written == {0: whole(job, 0, job.pieces()[0], LIMIT)}
+    assert written == {0: whole(job, 0, job.attempts_by_chunk()[0], LIMIT)}
--- a/tests/test_left_waiting.py
+++ b/tests/test_left_waiting.py
@@ -4,10 +4,10 @@
 
 import pytest
 
-from tealhook.jobs.candidates import CandidateSelection
 from tealhook.jobs.index import JobEntry
 from tealhook.jobs.job import Attempt, Job
-from tealhook.wire.users import parse_job
+from tealhook.scheduling.candidates import CandidateSelection
+from tealhook.wire.job_parser import parse_job
 from tests.world import Broken, SimJob, World
 
 ALIKE = {"plain": True, "yard": None, "spread": False, "together": False, "pull_gb": 0.6, "playbook": "img-0"}
@@ -81,7 +81,7 @@
         spec = parse_job(json.dumps(world.spec("req-000001") | {"plays": 4, "expected_s": expected_s}).encode())
         job = Job("req-000001", "team-0", JobEntry(spec, "team-0", 1, 0.0), 0.0)
         if placed_at is not None:
-            job.placed_at = placed_at
+            job.last_assigned_at = placed_at
         if staged:
             job.staged[0] = Attempt(0, 1, "host-1", 1, "za", 1, now)
         return CandidateSelection._may_borrow(job, job.spec, now, 80.0)
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -13,7 +13,7 @@
 from tealhook.jobs.job import Job
 from tealhook.settings import SettingsError
 from tealhook.settings.platform import parse_settings
-from tealhook.store import Outcome, Priority, StateClient
+from tealhook.state_store import CallPriority, Outcome, StateClient
 from tealhook.wire import mesh as wire
 from tealhook.wire.cloud import MachineTypes
 from tealhook.wire.common import dumps
@@ -68,31 +68,55 @@
 
 
 def _names(job: Job) -> dict[int, tuple]:
-    return {i: (a.number, a.machine, a.shift, a.zone, a.token) for i, a in job.attempts.items()}
+    return {i: (a.number, a.machine, a.session, a.zone, a.partition_token) for i, a in job.attempts.items()}
 
 
 def test_live_records_of_production_are_read_whole():
     wide = _read(PRODUCTION["live_250"])
-    assert sorted(wide.attempts) == list(range(160, 410)) and wide.counter == 250 and wide.done_count == 158
+    assert sorted(wide.attempts) == list(range(160, 410)) and wide.last_attempt_number == 250 and wide.done_count == 158
     assert len({a.machine for a in wide.attempts.values()}) == 250
     widest = _read(PRODUCTION["live_400"], ["1", "0"])
-    assert sorted(widest.attempts) == list(range(400)) and widest.stamps == {0: 5, 1: 5}
+    assert sorted(widest.attempts) == list(range(400)) and widest.chunk_revisions == {0: 5, 1: 5}
     assert max(len(dumps(value)) for value in PRODUCTION["live_400"].values()) > 2.5 * LIMIT
 
 
 def test_job_records_ownership_and_types_of_production_are_read():
     jobs = {name: parse_record(value) for name, value in PRODUCTION["jobs"].items()}
-    assert {name: record.st for name, record in jobs.items()} == {name: name for name in jobs} and len(jobs) == 3
-    assert jobs["active"].s.plays == 600 and jobs["active"].s.pull_gb == 0.9 and jobs["active"].at == 1e9
+    assert {name: record.status for name, record in jobs.items()} == {name: name for name in jobs} and len(jobs) == 3
+    assert jobs["active"].spec.task_count == 600 and jobs["active"].spec.image_gb == 0.9 and jobs["active"].at == 1e9
     assert set(PRODUCTION["own"]) == {"n", "b", "z"} and int(PRODUCTION["own"]["b"], 16) == 0x38538D0EA8C72DB3
-    assert msgspec.convert(PRODUCTION["types"], MachineTypes).rigs[0].yards == ["za", "zb"]
+    assert msgspec.convert(PRODUCTION["types"], MachineTypes).machine_types[0].zones == ["za", "zb"]
+
+
+FRAME_TYPES = {  # what the version in production called each message, and its type here
+    "Ask": wire.CapacityInquiry,
+    "AskReply": wire.CapacityReply,
+    "Reserve": wire.ReserveRequest,
+    "ReserveReply": wire.ReserveReply,
+    "Launch": wire.LaunchRequest,
+    "LaunchReply": wire.LaunchReply,
+    "MachineNews": wire.StatusUpdate,
+    "Look": wire.ReconcileRequest,
+    "LookReply": wire.ReconcileReply,
+    "Stop": wire.StopRequest,
+    "Fence": wire.FenceRequest,
+    "Gone": wire.MachinesReleased,
+    "Drain": wire.DrainRequest,
+    "Gossip": wire.Gossip,
+    "Relay": wire.RelayRequest,
+    "RelayReply": wire.RelayReply,
+    "Forward": wire.ForwardRequest,
+    "ForwardReply": wire.ForwardReply,
+    "Ok": wire.Acknowledged,
+    "No": wire.Refused,
+}
 
 
 @pytest.mark.parametrize("name", sorted(PRODUCTION["frames"]))
 def test_frames_of_production_are_read(name):
     frame = PRODUCTION["frames"][name]
     envelope = wire.envelope_decoder.decode(bytes.fromhex(frame["hex"]))
-    assert type(envelope.body).__name__ == name and envelope.sender == "n0" and envelope.incarnation == 5
+    assert type(envelope.body) is FRAME_TYPES[name] and envelope.sender == "n0" and envelope.incarnation == 5
     if frame["body"] is not None:
         body = json.loads(json.dumps(msgspec.to_builtins(envelope.body)))
         assert all(body[key] == value for key, value in frame["body"].items())
@@ -105,15 +129,15 @@
     """One write, as the state service carries it out; every value and their number within limits."""
     written = job.lay_out(LIMIT, most)
     assert 0 < len(written) <= most and all(len(dumps(value)) <= LIMIT for value in written.values())
-    job.changed -= written.keys()
+    job.dirty_chunks -= written.keys()
     for piece, value in written.items():
         if value["m"] or not piece:
             durable[piece] = value
-            job.stamps[piece] = 6
+            job.chunk_revisions[piece] = 6
         else:
             durable.pop(piece, None)
-            job.stamps.pop(piece, None)
-    job.move(job.moved, set(written))
+            job.chunk_revisions.pop(piece, None)
+    job.move(job.moved_attempts, set(written))
     return written
 
 
@@ -125,16 +149,16 @@
     durable = {int(piece): value for piece, value in PRODUCTION[record].items()}
     job = _read(durable)
     before, steps, copies = _names(job), 0, 0
-    while steps == 0 or job.changed or max(len(dumps(value)) for value in durable.values()) > LIMIT:
-        if not job.changed:
-            job.changed |= durable.keys()
+    while steps == 0 or job.dirty_chunks or max(len(dumps(value)) for value in durable.values()) > LIMIT:
+        if not job.dirty_chunks:
+            job.dirty_chunks |= durable.keys()
         copies += 0 not in _step(job, durable, most)
         steps += 1
         assert steps < 30
         order = list(durable)
         random.Random(steps).shuffle(order)
         again = _read(durable, order)
-        assert _names(again) == before == _names(job) and again.counter == job.counter
+        assert _names(again) == before == _names(job) and again.last_attempt_number == job.last_attempt_number
         if takeover:
             job = again
     assert all(len(dumps(value)) <= LIMIT for value in durable.values())
@@ -151,21 +175,21 @@
     written = _step(job, durable, 2)
     assert written.keys() == {2, 3}
     again = _read({str(piece): value for piece, value in durable.items()}, order)
-    assert again.changed == {0}
-    copied = {index for index, attempt in again.attempts.items() if attempt.piece in written}
-    assert copied == {index for index, attempt in job.attempts.items() if attempt.piece in written} and copied
+    assert again.dirty_chunks == {0}
+    copied = {index for index, attempt in again.attempts.items() if attempt.chunk in written}
+    assert copied == {index for index, attempt in job.attempts.items() if attempt.chunk in written} and copied
 
 
 def test_an_attempt_that_ends_while_it_is_copied_is_tidied_everywhere():
     durable = {int(piece): value for piece, value in PRODUCTION["live_250"].items()}
     job = _read(durable)
     written = job.lay_out(LIMIT, 2)
-    assert 0 not in written and job.moved
-    attempt, target = job.moved[0]
+    assert 0 not in written and job.moved_attempts
+    attempt, target = job.moved_attempts[0]
     del job.attempts[attempt.index]
-    job.changed.add(attempt.piece)
-    job.move(job.moved, set(written))
-    assert {0, target} <= job.changed
+    job.dirty_chunks.add(attempt.chunk)
+    job.move(job.moved_attempts, set(written))
+    assert {0, target} <= job.dirty_chunks
 
 
 # -- whole deployments
@@ -202,8 +226,8 @@
     world = World(seed + 700, limit=2500.0, wps=40.0, next=coming)
     world.cloud.room = 50
     for node in world.names:  # they write as the version in production does, until they are replaced
-        store = world.nodes[node].store
-        store.txn_ops, store.value_bytes = 16, 8192
+        store = world.nodes[node].state_client
+        store.max_operations, store.value_bytes = 16, 8192
     for i in range(5):
         world.at(
             3.0 * i,
@@ -310,7 +334,7 @@
     """Bookkeeping without end, for so long: how many changes were sent."""
     sent = len(fx.calls)
     for _ in range(seconds * 50):
-        store.txn({}, [{"drop": "a"}], Priority.KEEP, lambda *_: None, wait=0.1)
+        store.transact({}, [{"drop": "a"}], CallPriority.KEEP, lambda *_: None, wait=0.1)
         fx.run(fx.time + 0.02)
     return len(fx.calls) - sent
 
@@ -323,8 +347,8 @@
     _load(fx, store, 20)
     slowed = _load(fx, store, 20)
     assert 0 < slowed < 0.5 * usual
-    store.txn({}, [{"drop": "k"}], Priority.KEEP, lambda *_: None)
-    store.txn({}, [{"drop": "c"}], Priority.ADMIT, lambda *_: None)
+    store.transact({}, [{"drop": "k"}], CallPriority.KEEP, lambda *_: None)
+    store.transact({}, [{"drop": "c"}], CallPriority.ADMIT, lambda *_: None)
     store.renew_lease(7, 1.0, lambda _kind: None)
     sent = len(fx.calls)
     fx.run(fx.time + 2.0)
@@ -348,5 +372,5 @@
     fx, store = _client(None)
     fx.state = lambda method, target, sent, timeout, answer: answer(status, body)
     seen = []
-    store.txn({}, [{"drop": "a"}], Priority.RENEW, lambda outcome, *_: seen.append(outcome))
+    store.transact({}, [{"drop": "a"}], CallPriority.RENEW, lambda outcome, *_: seen.append(outcome))
     assert seen == [expected]
--- a/tests/test_machine_types.py
+++ b/tests/test_machine_types.py
@@ -16,6 +16,7 @@
 import msgspec
 import pytest
 
+from tealhook.coordination import FLEET_KEY
 from tealhook.fleet.machine_types import (
     StoredTypes,
     TypesRecord,
@@ -25,7 +26,7 @@
     plan_changes,
     split_types,
 )
-from tealhook.store import FLEET, Outcome, Priority
+from tealhook.state_store import CallPriority, Outcome
 from tealhook.wire import state as state_wire
 from tealhook.wire.cloud import MachineType, MachineTypes
 from tealhook.wire.common import dumps
@@ -90,23 +91,23 @@
 
 def _crash_owner(world: World, back: float) -> None:
     """End the process that owns the fleet, if there is one at present."""
-    if FLEET in world.state.rows:
-        world.crash(world.state.rows[FLEET][0]["n"], back)
+    if FLEET_KEY in world.state.rows:
+        world.crash(world.state.rows[FLEET_KEY][0]["n"], back)
 
 
 def _write_as_in_production(world: World, name: str) -> None:
     """Make a node write the types as the version in production does: all of them in one value, nothing else."""
-    fleet = world.nodes[name].fleet
+    fleet = world.nodes[name].fleet_manager
 
     def store_types(*_args: Any) -> None:
         def done(outcome: Outcome, _epoch: int, _failed: list[str]) -> None:
             if outcome is Outcome.OK:
                 fleet._stored_types = {
-                    (rig.name, rig.vcpus, rig.memory_gb, tuple(rig.yards)) for rig in fleet._types.values()
+                    (kind.name, kind.vcpus, kind.memory_gb, tuple(kind.zones)) for kind in fleet._types.values()
                 }
 
         value = {"rigs": world.cloud.rigs}
-        fleet._store.txn({FLEET: fleet._token or 0}, [state_wire.put(TYPES, value)], Priority.ADMIT, done)
+        fleet._store.transact({FLEET_KEY: fleet._token or 0}, [state_wire.put(TYPES, value)], CallPriority.ADMIT, done)
 
     fleet._store_types = store_types
 
@@ -235,8 +236,8 @@
         world.run(ASKED_S)
         assert _starting_node(_records(world.state)) == _names(world.cloud.rigs)
         for name in world.names:
-            if name in world.nodes and "_store_types" in vars(world.nodes[name].fleet):
-                del world.nodes[name].fleet._store_types
+            if name in world.nodes and "_store_types" in vars(world.nodes[name].fleet_manager):
+                del world.nodes[name].fleet_manager._store_types
         world.cloud.rigs = _offer(18, "a")
         world.run(ASKED_S)
         assert _starting_node(_records(world.state)) == _names(world.cloud.rigs)
@@ -277,7 +278,7 @@
     """Its reader takes `rigs` of `fleet/types` and ignores other fields."""
     first = split_types(_rigs(30), 717, lambda _count: 7)[0]
     assert (first.more, first.more_from) != (0, 1)
-    assert msgspec.convert(msgspec.to_builtins(first), MachineTypes).rigs == first.rigs
+    assert msgspec.convert(msgspec.to_builtins(first), MachineTypes).machine_types == first.rigs
 
 
 def test_a_type_too_large_for_any_value_does_not_hold_up_the_split():
@@ -285,14 +286,16 @@
 
 
 def test_types_of_production_stay_one_value_of_the_same_bytes():
-    rigs = msgspec.convert(PRODUCTION, MachineTypes).rigs
+    rigs = msgspec.convert(PRODUCTION, MachineTypes).machine_types
     (change,) = plan_changes(StoredTypes(), rigs, 2048)
     assert dumps(change.operation.value) == dumps(PRODUCTION)
 
 
 @pytest.mark.parametrize("txn_ops", [1, 2, 5, 16])
 def test_transactions_keep_to_their_limits_in_operations_and_bytes(txn_ops):
-    rows = [state_wire.Row(further_key(n), {"rigs": []}, 7) for n in (1, 2, 5)] + [state_wire.Row(TYPES, {}, 9)]
+    rows = [state_wire.KeyValue(further_key(n), {"rigs": []}, 7) for n in (1, 2, 5)] + [
+        state_wire.KeyValue(TYPES, {}, 9)
+    ]
     changes = plan_changes(StoredTypes.from_rows(rows), _rigs(600), 8192)
     groups, rest = [], changes
     while rest:
@@ -313,21 +316,21 @@
 class _Service:
     """A state service that carries some transactions out late, and tells nothing of some."""
 
-    value_bytes, txn_ops = 717, 2
+    value_bytes, max_operations = 717, 2
 
     def __init__(self, rng: random.Random, check: Callable[[], None]) -> None:
         self.rng, self.check = rng, check
-        self.rows: dict[str, tuple[Any, int]] = {FLEET: ({"n": "n0"}, 1)}
+        self.rows: dict[str, tuple[Any, int]] = {FLEET_KEY: ({"n": "n0"}, 1)}
         self.epoch = 1
         self.late: list[tuple[dict, list]] = []
         self.trouble = 0.5
 
     def list(self, prefix: str, done: Callable, **_how: Any) -> None:
-        rows = [state_wire.Row(key, *row) for key, row in sorted(self.rows.items()) if key.startswith(prefix)]
+        rows = [state_wire.KeyValue(key, *row) for key, row in sorted(self.rows.items()) if key.startswith(prefix)]
         done(rows, self.epoch)
 
-    def txn(self, when: dict, apply: list, _priority: Priority, done: Callable) -> None:
-        assert len(apply) <= self.txn_ops and len(when) <= 4 * self.txn_ops
+    def transact(self, when: dict, apply: list, _priority: CallPriority, done: Callable) -> None:
+        assert len(apply) <= self.max_operations and len(when) <= 4 * self.max_operations
         apply = [msgspec.json.decode(dumps(operation)) for operation in apply]  # as the state service reads them
         assert all(len(dumps(op["v"])) <= self.value_bytes for op in apply if "write" in op)
         if self.rng.random() < self.trouble:
@@ -362,12 +365,12 @@
     def take_over(self) -> int:
         """Ownership of the fleet passes on; gives the new token."""
         self.epoch += 1
-        self.rows[FLEET] = ({"n": "n0"}, self.epoch)
+        self.rows[FLEET_KEY] = ({"n": "n0"}, self.epoch)
         return self.epoch
 
 
 def _names_stored(service: _Service) -> list[str] | None:
-    rows = [state_wire.Row(key, *row) for key, row in service.rows.items()]
+    rows = [state_wire.KeyValue(key, *row) for key, row in service.rows.items()]
     rigs = StoredTypes.from_rows(rows).types()
     return None if rigs is None else [rig.name for rig in rigs]
 
@@ -396,10 +399,10 @@
                 token = service.take_over()
                 rigs = _rigs(rng.randint(1, 3), f"p{step}")
                 offers.append([rig.name for rig in rigs])
-                service.txn(
-                    {FLEET: token},
+                service.transact(
+                    {FLEET_KEY: token},
                     [state_wire.put(TYPES, msgspec.to_builtins(MachineTypes(rigs)))],
-                    Priority.ADMIT,
+                    CallPriority.ADMIT,
                     lambda *_answer: None,
                 )
                 token = service.take_over()
@@ -424,4 +427,4 @@
     types.replace(token, rigs, lambda certain: None)
     while service.late:
         service.one_comes_late()
-    assert read() == offers[-1] and service.rows.keys() == {FLEET, TYPES}
+    assert read() == offers[-1] and service.rows.keys() == {FLEET_KEY, TYPES}
--- a/tests/test_meetings_net.py
+++ b/tests/test_meetings_net.py
@@ -5,7 +5,7 @@
 
 import pytest
 
-from tealhook.parts.partition import Partition
+from tealhook.partitions.partition import Partition
 from tests.standins import Worker
 from tests.test_guards import _break_proof, _guess_commits, _no_limit
 from tests.troubles import (
@@ -394,10 +394,10 @@
     whole = Partition.on_report
 
     def on_report(self, report):
-        report.baton = self.token
-        machine = self.machines.get(report.box)
+        report.fencing_token = self.token
+        machine = self.machines.get(report.machine)
         if machine is not None:
-            machine.tick, machine.shift = -1, report.shift
+            machine.sequence, machine.session = -1, report.session
         return whole(self, report)
 
     patch.setattr(Partition, "on_report", on_report)
--- a/tests/test_meetings_users.py
+++ b/tests/test_meetings_users.py
@@ -7,10 +7,10 @@
 
 import pytest
 
+from tealhook.admission.admission import Admission
 from tealhook.fleet import FleetManager
-from tealhook.jobs.admission import Admission
-from tealhook.jobs.candidates import CandidateSelection
-from tealhook.jobs.scheduler import TeamState
+from tealhook.scheduling.candidates import CandidateSelection
+from tealhook.scheduling.team_scheduler import TeamState
 from tests import users
 from tests.standins import Worker
 from tests.test_guards import _answer_from_memory, _no_places
@@ -205,12 +205,12 @@
 def test_not_to_count_tasks_of_cancelled_jobs_is_found_out(monkeypatch):
     def taken(self, which=0):
         return sum(
-            job.need[which] * (len(job.attempts) + len(job.staged))
+            job.resources[which] * (len(job.attempts) + len(job.staged))
             for job in self.jobs.values()
             if job.spec is not None
         )
 
-    monkeypatch.setattr(TeamState, "taken", taken)
+    monkeypatch.setattr(TeamState, "allocated", taken)
     with pytest.raises(Broken, match="quota"):
         for seed in SEEDS:
             _at_the_limit(seed, False)
@@ -506,15 +506,15 @@
     world.submit(plays=1, vcpus=1.0, expected_s=400.0, **PLAIN)
     if calm:
         world.calm_at = world.now
-    whole = Admission.show
+    whole = Admission.answer_poll
 
     def show(self, asked, reply):
         if asked == job:
-            self._later(reply, "not now")
+            self._reply_retry(reply, "not now")
         else:
             whole(self, asked, reply)
 
-    monkeypatch.setattr(Admission, "show", show)
+    monkeypatch.setattr(Admission, "answer_poll", show)
     world.run(60.0)
     with pytest.raises(Broken, match="forgotten"):
         world.run(40.0)
@@ -522,13 +522,13 @@
 
 def test_a_job_accepted_though_it_cannot_run_and_ids_made_up_are_found_out(monkeypatch):
     world, _job = _alone()
-    monkeypatch.setattr(Admission, "_never", lambda self, spec: None)
+    monkeypatch.setattr(Admission, "_why_never", lambda self, spec: None)
     users.odd_job(world, fits_none=True)
     with pytest.raises(Broken, match="accepted_wrong"):
         world.run(5.0)
     monkeypatch.undo()
     world, _job = _alone()
-    monkeypatch.setattr(Admission, "show", lambda self, job, reply: reply(200, self._status_body(job, "done")))
+    monkeypatch.setattr(Admission, "answer_poll", lambda self, job, reply: reply(200, self._status_body(job, "done")))
     for _ in range(8):
         users.ask_unknown(world, "req-999999")
     with pytest.raises(Broken, match="invented"):
--- a/tests/test_meetings_view.py
+++ b/tests/test_meetings_view.py
@@ -63,7 +63,7 @@
     assert any(key.startswith("live/") and job in key for key in world.state.rows)
     world.run(0.6)
     node = world.nodes[world.state.rows[HOME][0]["n"]]
-    assert node.book.watcher.viewed_at < taken - 0.5  # the view is too old indeed
+    assert node.job_index.watcher.viewed_at < taken - 0.5  # the view is too old indeed
     assert held and world.now < taken + 1.0
     behind.clear()
     world.network.heal()
@@ -83,15 +83,15 @@
     world = World(4)
     world.run(20.0)
     job = world.submit(plays=4, expected_s=20.0, **ALIKE)
-    keeper = world.nodes[world.state.rows[HOME][0]["n"]].homes
-    while job not in keeper.homes["team-0"].jobs or not keeper.homes["team-0"].jobs[job].attempts:
+    keeper = world.nodes[world.state.rows[HOME][0]["n"]].team_scheduler
+    while job not in keeper.teams["team-0"].jobs or not keeper.teams["team-0"].jobs[job].attempts:
         world.run(0.5)
         assert world.now < 50.0
-    before = keeper.homes["team-0"]
+    before = keeper.teams["team-0"]
     before.jobs[job].spec = None
-    keeper.job_changed(job)
-    assert keeper.homes["team-0"] is not before
+    keeper.on_job_changed(job)
+    assert keeper.teams["team-0"] is not before
     world.run(1.0)
-    assert keeper.homes["team-0"].jobs[job].spec is not None and keeper.homes["team-0"].jobs[job].attempts
+    assert keeper.teams["team-0"].jobs[job].spec is not None and keeper.teams["team-0"].jobs[job].attempts
     world.run(90.0)
     assert world.jobs[job].final == "done"
--- a/tests/test_mesh.py
+++ b/tests/test_mesh.py
@@ -9,7 +9,7 @@
     behind a cut came late, was taken for the newest, and the present process for an old one."""
     heard = []
     mesh = Mesh(type("Fx", (), {"now": staticmethod(lambda: 0.0)})(), "n0", ["n1"], 7)
-    mesh.handler = lambda sender, body, reply: heard.append(body.state_age)
+    mesh.handler = lambda sender, body, reply: heard.append(body.state_age_s)
 
     def gossip(boot: int, number: int) -> None:
         body = wire.Gossip("n1", float(boot * 100 + number), {})
--- a/tests/test_mistaken_jobs.py
+++ b/tests/test_mistaken_jobs.py
@@ -61,7 +61,7 @@
 def test_room_for_one_try_is_kept_for_each_and_no_more():
     """Not none at all either: the machines that it was tried on may have been to blame."""
     world, jobs = _run(5, 4)
-    assert 0 < sum(item.count for node in world.nodes.values() for item in node.homes.demand()) <= len(jobs)
+    assert 0 < sum(item.count for node in world.nodes.values() for item in node.team_scheduler.demand()) <= len(jobs)
 
 
 def test_they_neither_go_first_nor_have_others_stopped():
@@ -70,11 +70,11 @@
     for _ in range(60):
         world.run(1.0)
         for node in world.nodes.values():
-            selection, now = node.homes.cycle.selection, node._effects.now() + 1000.0
+            selection, now = node.team_scheduler.cycle.selection, node._effects.now() + 1000.0
             for candidate in selection.select(now):
                 seen.add(candidate.job.id)
                 assert not (candidate.overdue or selection.may_preempt(candidate, now))
-                assert not selection.may_preempt_saving(candidate)
+                assert not selection.may_preempt_checkpointing(candidate)
     assert seen == set(jobs)
 
 
@@ -93,4 +93,4 @@
 
 
 def _failing(node: Controller, job: str) -> bool:
-    return any(job in home.jobs and home.jobs[job].failing for home in node.homes.homes.values())
+    return any(job in home.jobs and home.jobs[job].failing for home in node.team_scheduler.teams.values())
--- a/tests/test_mixed_versions.py
+++ b/tests/test_mixed_versions.py
@@ -258,7 +258,7 @@
     run_until(world, lambda: world.jobs[first].accepted)
     world.state.refuses = {"n2"}
     world.run(3.0)
-    assert world.nodes["n2"].api._stand_in() in NAMES[:2]
+    assert world.nodes["n2"].api._stand_in_peer() in NAMES[:2]
     spec = world.jobs[first].spec
 
     def submit(changes: dict) -> int:
@@ -296,6 +296,11 @@
 # -- bytes
 
 
+def _tag(body: type) -> str:
+    """What names a type of message on the wire, in every version."""
+    return body.__struct_config__.tag
+
+
 class _Recorder:
     """What controllers of each version send to others and write to the state service."""
 
@@ -311,7 +316,7 @@
         recorder = self
 
         def mesh(network: Network, sender: str, peer: str, frame: bytes) -> None:
-            kind = type(decoder.decode(frame).body).__name__
+            kind = _tag(type(decoder.decode(frame).body))
             recorder.frames[(network.world.running[sender].package, kind)].append(frame)
             send(network, sender, peer, frame)
 
@@ -358,14 +363,14 @@
 BOTH_WAYS = pytest.mark.parametrize(
     ("writer", "reader"), [(production, present), (present, production)], ids=["old to new", "new to old"]
 )
-ADDED_FIELDS = {"Gossip": ("blocked", "placed")}  # at the end and with defaults; the version in production ignores them
+ADDED_FIELDS = {"gossip": ("blocked", "placed")}  # at the end and with defaults; the version in production ignores them
 JOB_RECORDS = {production().package: "jobs.book", present().package: "jobs.index"}  # the module that reads them
-RARE_FRAMES = {"Fence", "No"}  # seen in most, not in all sets of runs
-UNUSED_FRAMES = {"Ok"}
+RARE_FRAMES = {"fence", "no"}  # seen in most, not in all sets of runs
+UNUSED_FRAMES = {"ok"}
 
 
 def _frame_types(version: Version) -> dict[str, type]:
-    return {body.__name__: body for body in version.module("wire.mesh").Body.__args__}
+    return {_tag(body): body for body in version.module("wire.mesh").Body.__args__}
 
 
 def test_both_versions_know_the_same_frames():
@@ -404,10 +409,11 @@
 @pytest.mark.parametrize("name", sorted(RARE_FRAMES | UNUSED_FRAMES))
 def test_rare_frames_are_read_alike(writer, reader, name):
     wire, other = writer().module("wire.mesh"), reader().module("wire.mesh")
-    made = {"Fence": lambda: wire.Fence(["host-000001"]), "No": lambda: wire.No("not the owner"), "Ok": wire.Ok}
-    frame = wire.envelope_encoder.encode(wire.Envelope("n0", 5, 7, 0, made[name]()))
+    made = {"fence": (["host-000001"],), "no": ("not the owner",), "ok": ()}
+    body = _frame_types(writer())[name](*made[name])
+    frame = wire.envelope_encoder.encode(wire.Envelope("n0", 5, 7, 0, body))
     read = other.envelope_decoder.decode(frame)
-    assert type(read.body).__name__ == name and other.envelope_encoder.encode(read) == frame
+    assert _tag(type(read.body)) == name and other.envelope_encoder.encode(read) == frame
 
 
 @RECORDED
@@ -438,9 +444,12 @@
         assert found
         for key, value in found[:300]:
             piece = int(key.split("/")[3]) if key.count("/") == 3 else 0
-            jobs = [_loaded(version, piece, value) for version in (writer(), reader())]
-            assert len({json.dumps(_assignments(job)) for job in jobs}) == 1
-            written = [job.encode(piece, sorted(job.attempts.values(), key=lambda a: a.index), 8192) for job in jobs]
+            jobs = {version.package: _loaded(version, piece, value) for version in (writer(), reader())}
+            read = {json.dumps(_assignments(version, jobs[version.package])) for version in (writer(), reader())}
+            assert len(read) == 1
+            written = [
+                job.encode(piece, sorted(job.attempts.values(), key=lambda a: a.index), 8192) for job in jobs.values()
+            ]
             assert written[0] == written[1] == value
 
 
@@ -450,14 +459,19 @@
     entry = book.Known if version is production() else book.JobEntry
     job = version.module("jobs.job").Job("req-000001", "team-0", entry(spec, "team-0", 41, 0.0), 0.0)
     if not piece:
-        job.need = tuple(value["q"])
+        setattr(job, "need" if version is production() else "resources", tuple(value["q"]))
     job.load(piece, value, 5, 0.0)
     return job
 
 
-def _assignments(job) -> list:
-    attempts = sorted((a.index, a.number, a.machine, a.shift, a.zone, a.token, a.piece) for a in job.attempts.values())
-    return [attempts, list(job.done), job.counter]
+def _assignments(version: Version, job) -> list:
+    if version is production():
+        names, counter = ("index", "number", "machine", "shift", "zone", "token", "piece"), job.counter
+    else:
+        names = ("index", "number", "machine", "session", "zone", "partition_token", "chunk")
+        counter = job.last_attempt_number
+    attempts = sorted(tuple(getattr(attempt, name) for name in names) for attempt in job.attempts.values())
+    return [attempts, list(job.done), counter]
 
 
 def test_what_an_upgrade_leaves_is_read_for_ever():
--- a/tests/test_notices.py
+++ b/tests/test_notices.py
@@ -2,8 +2,8 @@
 
 import pytest
 
-from tealhook.jobs.silence import Silence
-from tealhook.parts.partition import Partition
+from tealhook.partitions.partition import Partition
+from tealhook.scheduling.reconciliation import Reconciliation
 from tests.standins import Worker
 from tests.users import ALIKE
 from tests.world import World
@@ -80,14 +80,14 @@
 
 
 def test_to_take_a_cut_for_many_lone_machines_is_found_out(monkeypatch):
-    whole = Silence._looked
+    whole = Reconciliation._on_reconcile_reply
 
-    def looked(self, home, names, asked, reply):
+    def on_reconcile_reply(self, team_state, names, asked, reply):
         if reply is not None:
-            reply.lone = True
-        whole(self, home, names, asked, reply)
+            reply.mostly_reporting = True
+        whole(self, team_state, names, asked, reply)
 
-    monkeypatch.setattr(Silence, "_looked", looked)
+    monkeypatch.setattr(Reconciliation, "_on_reconcile_reply", on_reconcile_reply)
     with pytest.raises(AssertionError):
         test_many_silent_machines_are_waited_for()
 
@@ -95,12 +95,12 @@
 def test_a_machine_taken_while_its_part_changes_owners_is_missed_before_a_lease_is_over():
     """Guards against waiting out a lease for a machine that the new owner never heard of, and the list lacks."""
     world, worker = _running(60.0, lease_s=30.0, cancel_s=60.0)
-    owner = next(name for name, node in world.nodes.items() if worker.yard in node.parts.parts)
-    fleet = next(name for name, node in world.nodes.items() if node.fleet._token is not None)
+    owner = next(name for name, node in world.nodes.items() if worker.yard in node.partition_manager.partitions)
+    fleet = next(name for name, node in world.nodes.items() if node.fleet_manager._token is not None)
     world.run(12.0)  # the cloud lists it by now
     gone: list[float] = []  # when a home was told of it
     for node in world.nodes.values():
-        node.homes.gone = lambda names, whole=node.homes.gone: (
+        node.team_scheduler.on_machines_released = lambda names, whole=node.team_scheduler.on_machines_released: (
             gone.append(world.now) if worker.name in names else None,
             whole(names),
         )
--- a/tests/test_ownership.py
+++ b/tests/test_ownership.py
@@ -2,8 +2,8 @@
 
 from itertools import combinations
 
-from tealhook.store import FLEET, home_key, part_key
-from tealhook.store.ownership import share_out
+from tealhook.coordination import FLEET_KEY, partition_key, team_key
+from tealhook.coordination.ownership import share_out
 
 
 def test_shares_of_each_kind_differ_by_one_at_most_whoever_lives():
@@ -11,7 +11,11 @@
     of each kind was taken, so that four parts fell on three nodes as two, two and none."""
     nodes = {f"n{i}": f"z{i % 2}" for i in range(5)}
     for parts in range(1, 12):
-        keys = [FLEET, *(part_key(f"z{i}") for i in range(parts)), *(home_key(f"team-{i}") for i in range(2 * parts))]
+        keys = [
+            FLEET_KEY,
+            *(partition_key(f"z{i}") for i in range(parts)),
+            *(team_key(f"team-{i}") for i in range(2 * parts)),
+        ]
         for count in range(1, 6):
             for live in combinations(nodes, count):
                 plan = share_out(keys, {node: nodes[node] for node in live})
--- a/tests/test_pipelines.py
+++ b/tests/test_pipelines.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from tealhook.wire.users import URGENCY_RANK
+from tealhook.wire.users import PRIORITY_RANK
 from tests import pipelines
 from tests.pipeline_steps import (
     LONG,
@@ -208,11 +208,13 @@
         needs = [job_id]
 
     def weights(name: str) -> dict[str, tuple[int, float]]:
-        return {job_id: (known.urgency, known.due_at) for job_id, known in world.nodes[name].book.active.items()}
+        return {
+            job_id: (entry.priority, entry.deadline_at) for job_id, entry in world.nodes[name].job_index.active.items()
+        }
 
     run_until(world, lambda: len(weights("n1")) == 4)
     before = weights("n1")
-    assert {urgency for urgency, _due_at in before.values()} == {URGENCY_RANK["urgent"]}
+    assert {priority for priority, _deadline_at in before.values()} == {PRIORITY_RANK["urgent"]}
     world.crash("n1", 5.0)
     world.run(20.0)
     assert weights("n1") == before
--- a/tests/test_pipelines_cancelled.py
+++ b/tests/test_pipelines_cancelled.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from tealhook.jobs.admission import Admission
+from tealhook.admission.admission import Admission
 from tealhook.jobs.job import Job
 from tests import pipelines, users
 from tests.pipeline_steps import (
--- a/tests/test_pipelines_names.py
+++ b/tests/test_pipelines_names.py
@@ -38,7 +38,7 @@
         for team in TEAMS:
             submit(world, crew=team)
         world.run(10.0)
-        if not any(set(node.book.ended) & set(names) for node in world.nodes.values()):
+        if not any(set(node.job_index.ended) & set(names) for node in world.nodes.values()):
             return
     raise AssertionError("not forgotten")
 
@@ -55,7 +55,7 @@
     held = [submit(world, [*done, held_by], crew=team) for team in TEAMS]
     run_until(world, lambda: all(world.jobs[job_id].final == "done" for job_id in done))
     _forgotten(world, [*done, called_off])
-    assert all(len(node.book.ended) == 2 for node in world.nodes.values())
+    assert all(len(node.job_index.ended) == 2 for node in world.nodes.values())
     after = [submit(world, [name], crew="team-1") for name in done]
     lost = submit(world, [called_off, done[0]], crew="team-2")
     end_in(world, held_by, 1.0)
@@ -218,9 +218,9 @@
     desk = Desk(63, nodes=3)
     desk.world.run(25.0)
     hear_late(desk.world, 1.0)
-    assert all(node.store.served for node in desk.world.nodes.values())
+    assert all(node.state_client.is_served for node in desk.world.nodes.values())
     assert desk.submit("req-1", "n1", expected_s="1e6")[0] == 201
-    assert "req-1" not in desk.world.nodes["n0"].book.active
+    assert "req-1" not in desk.world.nodes["n0"].job_index.active
     assert desk.submit("req-2", "n0", waits_on='["req-1"]')[0] == 201
 
 
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -5,12 +5,12 @@
 import pytest
 
 from tealhook.loop import TokenBucket
-from tealhook.placement import Feedback, Group, PartView, Placed, plan_round
+from tealhook.placement import Feedback, Group, PartitionView, PlacementEstimate, plan_cycle
 from tealhook.placement.minmin import finish
 
 
 def view(cached=0, uncached=0, next_s=1e9, rate=1.0, factor=0.0):
-    return PartView(cached, uncached, next_s, rate, factor)
+    return PartitionView(cached, uncached, next_s, rate, factor)
 
 
 def group(job, count, parts, run_s=10.0, rank=(0,), image_gb=2.0, **more):
@@ -19,7 +19,7 @@
 
 def test_feedback_follows_the_papers_equation():
     factor = Feedback(0.0)
-    placed = Placed(free_at=100.0, fetch_s=2.0, run_s=8.0)
+    placed = PlacementEstimate(free_at=100.0, fetch_s=2.0, run_s=8.0)
     factor.finish(placed, 115.0, 0.8)  # actual 15 against 10
     assert factor.factor == pytest.approx(0.8 * (15 - 10) / 10)
     factor.finish(placed, 200.0, 0.8)
@@ -28,7 +28,7 @@
     assert factor.factor == pytest.approx(0.5)
     factor.idle(300.0, 10.0)
     assert factor.factor == 0.0
-    assert Placed(0.0, 0.0, 0.1).estimate == 1.0  # floored at one second
+    assert PlacementEstimate(0.0, 0.0, 0.1).estimate == 1.0  # floored at one second
 
 
 def test_finish_counts_free_time_fetch_run_and_factor():
@@ -38,20 +38,20 @@
 
 def test_cached_part_wins_until_it_is_full():
     g = group("a", 5, {"x": view(cached=2), "y": view(uncached=9)})
-    assert [(c.zone, c.count) for c in plan_round([g])] == [("x", 2), ("y", 3)]
+    assert [(c.zone, c.count) for c in plan_cycle([g])] == [("x", 2), ("y", 3)]
 
 
 def test_only_one_task_waits_for_a_parts_next_room():
     """Guards against free room left lying while every group waited, with all its tasks, for the same slot."""
     groups = [group(job, 4, {"x": view(next_s=0.5, factor=-0.5), "y": view(uncached=20)}) for job in ("a", "b", "c")]
-    choices = plan_round(groups)
+    choices = plan_cycle(groups)
     assert sum(c.count for c in choices if c.zone == "y") == 11
-    assert [(c.zone, c.count) for c in choices if c.hold] == [("x", 1)]
+    assert [(c.zone, c.count) for c in choices if c.holds_capacity] == [("x", 1)]
 
 
 def test_a_part_that_disappoints_is_passed_over():
     g = group("a", 1, {"x": view(cached=1, factor=0.9), "y": view(uncached=1)})
-    assert plan_round([g])[0].zone == "y"
+    assert plan_cycle([g])[0].zone == "y"
 
 
 def test_rank_comes_before_min_min_and_within_it_the_earliest_finish():
@@ -59,8 +59,8 @@
     late = group("late", 4, dict(room), run_s=1.0, rank=(1,))
     long = group("long", 2, {"x": view(uncached=4)}, run_s=50.0, rank=(0,))
     short = group("short", 1, {"x": view(uncached=4)}, run_s=5.0, rank=(0,))
-    choices = plan_round([late, long, short])
-    assert [(c.group.job, c.count, c.hold) for c in choices] == [
+    choices = plan_cycle([late, long, short])
+    assert [(c.group.job, c.count, c.holds_capacity) for c in choices] == [
         ("short", 1, False),
         ("long", 2, False),
         ("late", 1, False),
@@ -78,14 +78,14 @@
                 {z: view(uncached=n, next_s=3.0) for z, n in room.items()},
                 run_s=rng.uniform(1, 60),
                 rank=(rng.randint(0, 1),),
-                limits={"x": rng.randint(0, 2)} if rng.random() < 0.5 else {},
+                zone_limits={"x": rng.randint(0, 2)} if rng.random() < 0.5 else {},
             )
             for i in range(4)
         ]
-        allowed = {g.job: dict(g.limits) for g in groups}
+        allowed = {g.job: dict(g.zone_limits) for g in groups}
         given = dict.fromkeys(room, 0)
-        for choice in plan_round(groups):
-            if not choice.hold:
+        for choice in plan_cycle(groups):
+            if not choice.holds_capacity:
                 given[choice.zone] += choice.count
                 if choice.zone in allowed[choice.group.job]:
                     allowed[choice.group.job][choice.zone] -= choice.count
@@ -104,18 +104,18 @@
     assert bucket.wait(5, now) > 0 and not bucket.take(5, now, keep=6)
 
 
-@pytest.mark.parametrize("kind", ["aged", "can_preempt"])
+@pytest.mark.parametrize("kind", ["starving", "can_preempt"])
 def test_what_may_hold_room_takes_what_is_free_first(kind):
     """Guards against a job's last task that waited for one part's room, always about to be free, beside free room."""
     soon, later = view(next_s=0.5), view(uncached=3, factor=0.9)
-    [choice] = plan_round([group("a", 1, {"x": soon, "y": later}, **{kind: True})])
-    assert (choice.zone, choice.hold) == ("y", False)
-    assert [(c.zone, c.hold) for c in plan_round([group("a", 1, {"x": view(next_s=0.5)}, **{kind: True})])] == [
-        ("x", True)
-    ]
+    [choice] = plan_cycle([group("a", 1, {"x": soon, "y": later}, **{kind: True})])
+    assert (choice.zone, choice.holds_capacity) == ("y", False)
+    assert [
+        (c.zone, c.holds_capacity) for c in plan_cycle([group("a", 1, {"x": view(next_s=0.5)}, **{kind: True})])
+    ] == [("x", True)]
 
 
 def test_others_wait_for_the_part_with_the_earliest_finish():
     soon, later = view(next_s=0.5), view(uncached=3, factor=0.9)
-    [choice] = plan_round([group("a", 1, {"x": soon, "y": later})])
-    assert (choice.zone, choice.hold) == ("x", True)
+    [choice] = plan_cycle([group("a", 1, {"x": soon, "y": later})])
+    assert (choice.zone, choice.holds_capacity) == ("x", True)
--- a/tests/test_read_index.py
+++ b/tests/test_read_index.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from tealhook.store import ReadIndex
+from tealhook.state_store import ReadIndex
 from tests.simulation.requests import make_request, reads_jobs
 from tests.users import ALIKE
 from tests.world import Broken, World, random_run
--- a/tests/test_records.py
+++ b/tests/test_records.py
@@ -26,28 +26,30 @@
     tasks = iter(range(400))
     for machine in range(195):  # two tasks on nearly every machine of four parts, a third of them placed anew
         for index in [i for _ in range(2) if (i := next(tasks, None)) is not None]:
-            job.counter += 1
-            number = job.counter + (300 if rng.random() < 0.3 else 0)
+            job.last_attempt_number += 1
+            number = job.last_attempt_number + (300 if rng.random() < 0.3 else 0)
             zone, token = f"long-zone-name-{machine % 4}", 41230 + machine % 4
             job.attempts[index] = Attempt(index, number, f"host-{machine:06d}", 2, zone, token, 0.0)
     job.mark_done(395)
     job.mark_done(396)
-    value = job.encode(0, job.pieces()[0], LIMIT)
+    value = job.encode(0, job.attempts_by_chunk()[0], LIMIT)
     assert len(dumps(value)) < LIMIT
     again = _job(400)
     again.load(0, value, 7, 0.0)
 
     def state(j: Job) -> set[tuple]:
-        return {(a.index, a.number, a.machine, a.shift, a.zone, a.token) for a in j.attempts.values()}
+        return {(a.index, a.number, a.machine, a.session, a.zone, a.partition_token) for a in j.attempts.values()}
 
     assert state(again) == state(job) and len(state(job)) == 390
-    assert again.done == job.done and again.counter == job.counter
+    assert again.done == job.done and again.last_attempt_number == job.last_attempt_number
 
 
 def _stage(job: Job, tasks: range, machine: int) -> None:
     for index in tasks:
-        job.counter += 1
-        job.staged[index] = Attempt(index, job.counter, f"host-{machine + index:06d}", 1, "long-zone-name", 41230, 0.0)
+        job.last_attempt_number += 1
+        job.staged[index] = Attempt(
+            index, job.last_attempt_number, f"host-{machine + index:06d}", 1, "long-zone-name", 41230, 0.0
+        )
 
 
 def test_more_machines_than_one_record_can_name_go_to_several():
@@ -56,20 +58,20 @@
     _stage(job, range(1000), 0)
     written = job.lay_out(LIMIT, 7)
     assert len(written) > 3 and all(len(dumps(value)) <= LIMIT for value in written.values())
-    assert all(a.piece >= 0 for a in job.staged.values())
+    assert all(a.chunk >= 0 for a in job.staged.values())
     job.attempts, job.staged = job.staged, {}
-    job.stamps = dict.fromkeys(written, 5)
+    job.chunk_revisions = dict.fromkeys(written, 5)
     for piece in reversed(written):  # in whatever order they are read
         again.load(piece, written[piece], 5, 0.0)
-    assert {i: (a.number, a.machine, a.piece) for i, a in again.attempts.items()} == {
-        i: (a.number, a.machine, a.piece) for i, a in job.attempts.items()
+    assert {i: (a.number, a.machine, a.chunk) for i, a in again.attempts.items()} == {
+        i: (a.number, a.machine, a.chunk) for i, a in job.attempts.items()
     }
-    assert again.counter == 1000 and again.stamps == job.stamps
+    assert again.last_attempt_number == 1000 and again.chunk_revisions == job.chunk_revisions
 
     # What ends in one piece is written with the first, and the others are left alone.
-    gone = [index for index, attempt in job.attempts.items() if attempt.piece == 2][:5]
+    gone = [index for index, attempt in job.attempts.items() if attempt.chunk == 2][:5]
     for index in gone:
-        job.changed.add(job.attempts.pop(index).piece)
+        job.dirty_chunks.add(job.attempts.pop(index).chunk)
         job.mark_done(index)
     assert job.lay_out(LIMIT, 7).keys() == {0, 2}
 
@@ -78,7 +80,7 @@
     job = _job(20_000)
     _stage(job, range(3000), 0)
     written = job.lay_out(LIMIT, 7)
-    assert len(written) == 7 and {a.piece for a in job.staged.values()} == {-1, *range(7)}
+    assert len(written) == 7 and {a.chunk for a in job.staged.values()} == {-1, *range(7)}
     ragged = _job(20_000)
     for index in range(0, 20_000, 2):
         ragged.mark_done(index)
--- a/tests/test_rounds.py
+++ b/tests/test_rounds.py
@@ -2,13 +2,13 @@
 
 import json
 
-from tealhook.jobs import candidates
 from tealhook.jobs.index import JobEntry
-from tealhook.parts.machine import Held, Machine
-from tealhook.parts.room import Room
+from tealhook.partitions.capacity import CapacityManager
+from tealhook.partitions.machine import Machine, MachineTask
+from tealhook.scheduling import candidates
 from tealhook.settings.platform import Objective
 from tealhook.wire import mesh, workers
-from tealhook.wire.users import parse_job
+from tealhook.wire.job_parser import parse_job
 from tests.world import SimJob, World
 
 ALIKE = {"plain": True, "yard": None, "rigs": None, "spread": False, "together": False, "loaners": True, "pull_gb": 0.6}
@@ -50,7 +50,7 @@
     world.run(10.0)
     node = world.nodes["n0"]
     node.settings.params.objectives = [Objective("finished", "x", due_s)]
-    machine = Machine(workers.Report("host-0", "10.1.0.1:9000", "small", "za", 1, 1, 1, True), world.now)
+    machine = Machine(workers.Heartbeat("host-0", "10.1.0.1:9000", "small", "za", 1, 1, 1, True), world.now)
     for job, expected_s, ran_s in (("req-000001", 100.0, 5.0), ("req-000002", 20.0, 10.0)):
         spec = parse_job(
             json.dumps(
@@ -75,12 +75,14 @@
                 }
             ).encode()
         )
-        node.book.active[job] = JobEntry(spec, "team-0", 1, node._effects.wall() - 20.0)
-        held = Held(f"{job}/0", job, 0, 1, "running", None, world.now - ran_s, ran_from=node._effects.now() - ran_s)
-        machine.held[(held.play, 1)] = held
-    room = Room(node._effects, node.settings, 1, node.book, node._types, {}, {"host-0": machine})
-    shape = mesh.Shape(4.0, 0.0, 4.0, "", 0.0, True, (), 2, 20.0)
-    want = mesh.Want("req-000003", "team-1", shape, 1, False, False, [], 1, preempt, False)
+        node.job_index.active[job] = JobEntry(spec, "team-0", 1, node._effects.wall() - 20.0)
+        held = MachineTask(
+            f"{job}/0", job, 0, 1, "running", None, world.now - ran_s, running_since=node._effects.now() - ran_s
+        )
+        machine.tasks[(held.task, 1)] = held
+    room = CapacityManager(node._effects, node.settings, 1, node.job_index, node._types, {}, {"host-0": machine})
+    shape = mesh.TaskRequirements(4.0, 0.0, 4.0, "", 0.0, True, (), 2, 20.0)
+    want = mesh.ReservationRequest("req-000003", "team-1", shape, 1, False, False, [], 1, preempt, False)
     _lost, victims = room._preemption.victims(machine, want, (4.0, 0.0, 4.0), [0.0, 0.0, 0.0], node._effects.now())
     return [held.job for held in victims]
 
@@ -107,7 +109,9 @@
     for plays in sizes:
         jobs.append(world.submit(crew="team-0", urgency="standard", plays=plays, vcpus=8.0, expected_s=500.0, **ALIKE))
         world.run(1.0)
-    found = {item.job.id: item.secured for item in node.homes.cycle.selection.select(node._effects.now())}
+    found = {
+        item.job.id: item.within_guarantee for item in node.team_scheduler.cycle.selection.select(node._effects.now())
+    }
     return [found[job] for job in jobs]
 
 
@@ -140,6 +144,6 @@
 
 def test_without_keeping_what_it_needs_of_the_limit_it_would_not(monkeypatch):
     monkeypatch.setattr(
-        candidates.CandidateSelection, "_keep_for_overdue", lambda self, team, jobs, now, hold_age_s: None
+        candidates.CandidateSelection, "_reserve_for_overdue", lambda self, team, jobs, now, hold_age_s: None
     )
     assert _team_at_its_limit().started_at is None
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -8,9 +8,9 @@
 from tealhook.http.parser import MAX_BODY, MAX_HEAD
 from tealhook.loop import Loop
 from tealhook.mesh import Mesh
-from tealhook.parts.machine import Machine
-from tealhook.parts.partition import Partition
-from tealhook.parts.room import Room
+from tealhook.partitions.capacity import CapacityManager
+from tealhook.partitions.machine import Machine
+from tealhook.partitions.partition import Partition
 from tealhook.wire import mesh, workers
 from tests.world import World
 
@@ -34,19 +34,19 @@
     world.run(60.0)
     assert world.starts == 24
     told, looked = [], []
-    whole, whole_look = Mesh.send, Partition.look
+    whole, whole_reconcile = Mesh.send, Partition.reconcile
 
     def send(self, peer, body):
-        if isinstance(body, mesh.MachineNews):
+        if isinstance(body, mesh.StatusUpdate):
             told.append(body)
         whole(self, peer, body)
 
-    def look(self, request):
+    def reconcile(self, request):
         looked.extend(request.machines)
-        return whole_look(self, request)
+        return whole_reconcile(self, request)
 
     monkeypatch.setattr(Mesh, "send", send)
-    monkeypatch.setattr(Partition, "look", look)
+    monkeypatch.setattr(Partition, "reconcile", reconcile)
     world.run(20.0)
     assert len(looked) > 20 and not told
 
@@ -58,20 +58,20 @@
     node = world.nodes["n0"]
     machines = {}
     for i in range(300):
-        report = workers.Report(f"host-{i}", "10.1.0.1:9000", "small", "za", 1, 1, 1, True)
-        machines[report.box] = machine = Machine(report, node._effects.now())
-        machine.sure = True
-    room = Room(node._effects, node.settings, 1, node.book, node._types, {}, machines)
+        report = workers.Heartbeat(f"host-{i}", "10.1.0.1:9000", "small", "za", 1, 1, 1, True)
+        machines[report.machine] = machine = Machine(report, node._effects.now())
+        machine.reconciled = True
+    room = CapacityManager(node._effects, node.settings, 1, node.job_index, node._types, {}, machines)
     worked = []
-    whole = Room._fit_on
-    monkeypatch.setattr(Room, "_fit_on", lambda self, m, need: worked.append(m.name) or whole(self, m, need))
-    shape = mesh.Shape(4.0, 0.0, 4.0, "img", 0.6, True, (), 1, 5.0)
-    assert room.ask([shape]).rooms[0].uncached == 600
+    whole = CapacityManager._fit_on
+    monkeypatch.setattr(CapacityManager, "_fit_on", lambda self, m, need: worked.append(m.name) or whole(self, m, need))
+    shape = mesh.TaskRequirements(4.0, 0.0, 4.0, "img", 0.6, True, (), 1, 5.0)
+    assert room.inquire([shape]).capacities[0].uncached == 600
     assert len(worked) == 300
     worked.clear()
-    want = mesh.Want("req-000001", "team-0", shape, 3, False, False, [], 1, False, False)
-    assert len(room.reserve(mesh.Reserve("za", [want])).slots[0]) == 3
-    assert room.ask([shape]).rooms[0].uncached == 597
+    want = mesh.ReservationRequest("req-000001", "team-0", shape, 3, False, False, [], 1, False, False)
+    assert len(room.reserve(mesh.ReserveRequest("za", [want])).grants[0]) == 3
+    assert room.inquire([shape]).capacities[0].uncached == 597
     assert len(worked) == 2  # two of them took three tasks
 
 
--- a/tests/test_standing_still.py
+++ b/tests/test_standing_still.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from tealhook.store import FLEET, Ownership
+from tealhook.coordination import FLEET_KEY, Ownership
 from tests.users import ALIKE
 from tests.world import SimEffects, World
 
@@ -42,7 +42,7 @@
 
     def cloud(self, method, target, body, timeout, answer):
         nonlocal wrong
-        row = self.world.state.rows.get(FLEET)
+        row = self.world.state.rows.get(FLEET_KEY)
         if method == "POST" and row is not None and row[0]["n"] != self.name:
             wrong += 1
         whole(self, method, target, body, timeout, answer)
@@ -51,7 +51,7 @@
     for seed in range(11, 14):
         world = _busy(seed)
         for _ in range(3):
-            owner = next(name for name, node in world.nodes.items() if node.ownership.mine(FLEET))
+            owner = next(name for name, node in world.nodes.items() if node.ownership.own_token(FLEET_KEY))
             for worker in list(world.cloud.machines.values())[:3]:
                 worker.fail()  # there is always something to release and to rent
             world.freeze(owner, 1.5 * LEASE_S)
--- a/tests/test_thousands.py
+++ b/tests/test_thousands.py
@@ -11,19 +11,19 @@
 
 import pytest
 
+from tealhook.coordination import partition_key
 from tealhook.http import HttpServer
 from tealhook.jobs.index import JobEntry
 from tealhook.loop import Loop
 from tealhook.mesh import transport
-from tealhook.parts import manager
-from tealhook.parts.calls import Calls
-from tealhook.parts.machine import Machine
-from tealhook.parts.partition import Partition
-from tealhook.parts.room import Room
-from tealhook.store import part_key
-from tealhook.store.watcher import LIST_AFTER
+from tealhook.partitions import manager
+from tealhook.partitions.capacity import CapacityManager
+from tealhook.partitions.machine import Machine
+from tealhook.partitions.partition import Partition
+from tealhook.partitions.worker_calls import Calls
+from tealhook.state_store.watcher import LIST_AFTER
 from tealhook.wire import mesh, workers
-from tealhook.wire.users import parse_job
+from tealhook.wire.job_parser import parse_job
 from tests.simulation.requests import make_request, reads_jobs
 from tests.test_bad_input import FIELDS, text
 from tests.users import ALIKE
@@ -60,7 +60,7 @@
 
     @property
     def partition(self) -> Partition:
-        return self.node.parts.parts[ZONE]
+        return self.node.partition_manager.partitions[ZONE]
 
     def report_all(self, plays: dict[int, list[dict]] | None = None, seconds: float = 2.0) -> list[list[int]]:
         """Each machine reports once within so many seconds; the statuses of the answers, by machine."""
@@ -87,20 +87,20 @@
     """Each is answered once, and is of use after the report that shows the token; what fits is worked out once each."""
     fleet = _Fleet(91)
     worked: list[str] = []
-    whole = Room._fit_on
-    monkeypatch.setattr(Room, "_fit_on", lambda self, m, need: worked.append(m.name) or whole(self, m, need))
+    whole = CapacityManager._fit_on
+    monkeypatch.setattr(CapacityManager, "_fit_on", lambda self, m, need: worked.append(m.name) or whole(self, m, need))
     for _ in range(2):
         assert fleet.report_all() == [[200]] * MACHINES
-    room = fleet.partition.room
-    assert sum(machine.sure for machine in fleet.partition.machines.values()) == MACHINES
-    shape = mesh.Shape(4.0, 0.0, 4.0, "img", 0.6, True, (), 1, 5.0)
-    assert room.ask([shape]).rooms[0].uncached == 2 * MACHINES
+    room = fleet.partition.capacity
+    assert sum(machine.reconciled for machine in fleet.partition.machines.values()) == MACHINES
+    shape = mesh.TaskRequirements(4.0, 0.0, 4.0, "img", 0.6, True, (), 1, 5.0)
+    assert room.inquire([shape]).capacities[0].uncached == 2 * MACHINES
     assert len(worked) == MACHINES
     worked.clear()
-    want = mesh.Want("req-000001", "team-0", shape, 7, False, False, [], 1, False, False)
-    slots = room.reserve(mesh.Reserve(ZONE, [want])).slots[0]
+    want = mesh.ReservationRequest("req-000001", "team-0", shape, 7, False, False, [], 1, False, False)
+    slots = room.reserve(mesh.ReserveRequest(ZONE, [want])).grants[0]
     assert len(slots) == 7
-    assert room.ask([shape]).rooms[0].uncached == 2 * MACHINES - 7
+    assert room.inquire([shape]).capacities[0].uncached == 2 * MACHINES - 7
     assert len(worked) == 4  # the machines that were used
 
 
@@ -108,9 +108,9 @@
     fleet = _Fleet(92)
     for _ in range(2):
         fleet.report_all()
-    states = fleet.partition.states()
+    states = fleet.partition.machine_states()
     assert len(states) == MACHINES
-    addrs = {ZONE: {machine.name: machine.addr for machine in fleet.partition.machines.values()}}
+    addrs = {ZONE: {machine.name: machine.address for machine in fleet.partition.machines.values()}}
     body = mesh.Gossip("n0", 0.0, {}, [], [], {ZONE: states}, {}, addrs)
     frame = mesh.envelope_encoder.encode(mesh.Envelope("n0", 1, 1, 0, body))
     assert 3 * len(frame) < mesh.MAX_FRAME < transport.MAX_QUEUED  # half as many machines again, and twice the room
@@ -126,7 +126,7 @@
     world, node = fleet.world, fleet.node
     jobs = [f"req-w{i}" for i in range(50)]
     for job in jobs:
-        node.book.active[job] = JobEntry(parse_job(json.dumps(_spec(job)).encode()), "team-0", 1, 0.0)
+        node.job_index.active[job] = JobEntry(parse_job(json.dumps(_spec(job)).encode()), "team-0", 1, 0.0)
     plays = {
         i: [
             {"play": f"{jobs[i % 50]}/{i}", "try": 1, "status": "running"},
@@ -137,8 +137,8 @@
     for _ in range(2):
         assert fleet.report_all(plays) == [[200]] * MACHINES
     for job in jobs:
-        del node.book.active[job]
-        node.book.ended[job] = ("cancelled", "team-0", 0.0)
+        del node.job_index.active[job]
+        node.job_index.ended[job] = ("cancelled", "team-0", 0.0)
     reads: list[str] = []
     whole = world.state.handle
     world.state.handle = lambda who, method, target, body, answer: (
@@ -162,37 +162,37 @@
 def test_a_node_that_owns_nothing_sends_thousands_on_and_forgets_none_of_them():
     """Guards against a table that was cleared whole at 4,096: machines were sent back to an owner they can't reach."""
     fleet = _Fleet(94, nodes=2)
-    zone = next(z for z in ("za", "zb") if fleet.node.ownership.owner(part_key(z)) != "n0")
+    zone = next(z for z in ("za", "zb") if fleet.node.ownership.owner(partition_key(z)) != "n0")
     count = int(1.5 * MACHINES)
     answered: list[int] = []
     for i in range(count):
         body = _report(i, 0, 1, zone=zone)
         fleet.node.on_request(make_request("POST", "/v1/report", body), lambda status, *_rest: answered.append(status))
     assert answered == [421] * count
-    assert len(fleet.node.parts._sent_on) == count > manager.LEAST_TRACKED
+    assert len(fleet.node.partition_manager._redirected_at) == count > manager.LEAST_TRACKED
     fleet.world.run(5 * 15.0)
     for i in range(count, count + 10):
         fleet.node.on_request(make_request("POST", "/v1/report", _report(i, 0, 1, zone=zone)), lambda *_answer: None)
     for _ in range(3):  # what is old goes when the table grows
-        fleet.node.parts._most_tracked = manager.LEAST_TRACKED
+        fleet.node.partition_manager._most_tracked = manager.LEAST_TRACKED
         fleet.node.on_request(make_request("POST", "/v1/report", _report(1, 0, 2, zone=zone)), lambda *_answer: None)
-    assert len(fleet.node.parts._sent_on) <= 12
+    assert len(fleet.node.partition_manager._redirected_at) <= 12
 
 
 def test_released_names_are_remembered_for_as_long_as_copies_come(monkeypatch):
     fleet = _Fleet(95)
-    parts = fleet.node.parts
+    parts = fleet.node.partition_manager
     names = [f"host-9{i:05d}" for i in range(2 * manager.LEAST_GONE)]
     for name in names:
-        parts.forget(name)
+        parts.forget_machine(name)
     statuses: list[int] = []
     for i in (0, len(names) - 1):
         request = make_request("POST", "/v1/report", _report(i, fleet.partition.token, 1))
         fleet.node.on_request(request, lambda status, *_rest: statuses.append(status))
     assert statuses == [503, 503]
     fleet.world.run(manager.GONE_LEASES * 15.0 + 1.0)
-    parts.forget("host-one-more")
-    assert len(parts._gone) <= manager.LEAST_GONE
+    parts.forget_machine("host-one-more")
+    assert len(parts._released) <= manager.LEAST_GONE
 
 
 def test_at_a_takeover_workers_are_called_as_connections_allow_and_none_is_left_out():
@@ -213,7 +213,7 @@
     calls = Calls(effects, fleet.node.settings, 7, {})
     world.run(10.0)
     addrs = {f"host-{i}": f"10.1.{i // 250}.{i % 250}:9000" for i in range(MACHINES)}
-    calls.call_in(addrs)
+    calls.announce_token(addrs)
     world.run(8.0)
     assert called == set(addrs.values())
     assert max(most) <= fleet.node.settings.params.limits.max_connections // 16
@@ -266,7 +266,7 @@
 def test_records_are_listed_when_the_answer_to_a_watch_can_never_be_taken(listed, monkeypatch):
     """Guards against a node that asked for ever for an answer that is too large for it, and never learned anything."""
     if not listed:
-        monkeypatch.setattr("tealhook.store.watcher.LIST_AFTER", 10**9)
+        monkeypatch.setattr("tealhook.state_store.watcher.LIST_AFTER", 10**9)
     world = World(97, nodes=1)
     world.run(15.0)
     whole = world.state.handle
@@ -281,11 +281,11 @@
     world.state.handle = handle
     job = world.submit(plays=1, expected_s=2.0, **ALIKE)
     world.run(2.0 * LIST_AFTER + 20.0)
-    assert (node.book.watcher.age() < 8.0) == listed
+    assert (node.job_index.watcher.age() < 8.0) == listed
     assert not listed or world.jobs[job].accepted
 
 
 def test_machines_are_known_by_reports_alone():
     """The stand-ins' reports are read as those of workers are."""
-    report = workers.report_decoder.decode(_report(1, 7, 3))
-    assert Machine(report, 0.0).name == "host-900001" and report.baton == 7
+    report = workers.heartbeat_decoder.decode(_report(1, 7, 3))
+    assert Machine(report, 0.0).name == "host-900001" and report.fencing_token == 7
--- a/tests/test_upgrade_runs.py
+++ b/tests/test_upgrade_runs.py
@@ -9,9 +9,9 @@
 
 import pytest
 
+from tealhook.coordination import Versions
 from tealhook.jobs import JobIndex
 from tealhook.jobs.job import Job
-from tealhook.store import Versions
 from tests import pipelines
 from tests.test_pipelines_runs import not_found_out
 from tests.troubles import all_calm, net_trouble, until_done
@@ -102,7 +102,7 @@
 
 
 def _without_gate(patch: pytest.MonkeyPatch) -> None:
-    patch.setattr(Versions, "all_new", property(lambda self: True))
+    patch.setattr(Versions, "all_upgraded", property(lambda self: True))
 
 
 def _without_check_at_start(patch: pytest.MonkeyPatch) -> None:
@@ -110,7 +110,7 @@
 
 
 def _without_cancelled_dependents(patch: pytest.MonkeyPatch) -> None:
-    patch.setattr(JobIndex, "needs_cancelled", lambda self, job: False)
+    patch.setattr(JobIndex, "has_cancelled_dependency", lambda self, job: False)
 
 
 @pytest.mark.parametrize(
--- a/tests/test_waits_on.py
+++ b/tests/test_waits_on.py
@@ -58,12 +58,12 @@
     world.run(20.0)
     first = world.submit(plays=1, expected_s=200.0, **ALIKE)
     world.run(3.0)
-    book = world.nodes["n0"].book
+    job_index = world.nodes["n0"].job_index
     names = [f"req-9{i:05d}" for i in range(300)]
     if known:  # as if each had been accepted before
         for name in names:
             for node in world.nodes.values():
-                node.book.active[name] = node.book.active[first]
+                node.job_index.active[name] = node.job_index.active[first]
     spec = world.spec("req-long") | ALIKE | {"plays": 1}
     del spec["plain"]
     assert _submitted(world, spec | {"waits_on": [first, *names]})[0] == 400
@@ -74,4 +74,4 @@
         rows = [row[0] for key, row in world.state.rows.items() if key.startswith("job/req-long")]
         assert len(rows) == 2 and rows[0]["more"] == 1
         assert rows[0]["s"]["waits_on"] + rows[1]["w"] == [first, *names[:100]]
-        assert book.blocked("req-long")
+        assert job_index.is_blocked("req-long")
--- a/tests/test_waits_on_input.py
+++ b/tests/test_waits_on_input.py
@@ -25,7 +25,7 @@
 @pytest.mark.parametrize("names", [MISSING, "null", "[]"])
 def test_no_list_a_null_and_an_empty_one_name_nothing(desk, names):
     job = _accepted(desk, waits_on=names)
-    assert not desk.world.nodes["n0"].book.active[job].blocked
+    assert not desk.world.nodes["n0"].job_index.active[job].blocked
     assert desk.abort(job)[0] == 200
 
 
--- a/tests/versions.py
+++ b/tests/versions.py
@@ -120,3 +120,15 @@
         return _version(PRODUCTION_PACKAGE)
     finally:
         sys.path.remove(str(folder))
+
+
+def owned_partitions(controller: Any) -> dict[str, Any]:
+    """The partitions that a controller of either version owns, by zone."""
+    if hasattr(controller, "partition_manager"):
+        return controller.partition_manager.partitions
+    return controller.parts.parts  # the version in production
+
+
+def active_jobs(controller: Any) -> dict[str, Any]:
+    """The jobs that a controller of either version takes for active, by id."""
+    return controller.job_index.active if hasattr(controller, "job_index") else controller.book.active
