--- a/tealhook/admission/admission.py
+++ b/tealhook/admission/admission.py
@@ -12,11 +12,10 @@
 from typing import Any
 
 from tealhook.admission.submissions import Submission, lay_out, why_too_large
+from tealhook.context import NodeContext
 from tealhook.coordination import Versions
 from tealhook.jobs.index import JobIndex, JobRecord, JobState, job_key
 from tealhook.jobs.records import JobRecords, OnRecord
-from tealhook.loop.effects import Effects
-from tealhook.settings import Settings
 from tealhook.state_store import CallPriority, Outcome, ReadIndex, StateClient
 from tealhook.wire import state as state_wire
 from tealhook.wire.cloud import MachineType
@@ -38,8 +37,7 @@
 
     def __init__(
         self,
-        effects: Effects,
-        settings: Settings,
+        context: NodeContext,
         store: StateClient,
         job_index: JobIndex,
         types: dict[str, MachineType],
@@ -47,16 +45,16 @@
         versions: Versions,
     ) -> None:
         """Jobs are judged by the machine types, as far as these are known, and counted by `progress`."""
-        self._effects = effects
+        self._effects = context.effects
         self._store = store
         self._job_index = job_index
-        self._records = JobRecords(effects, store, job_index)
-        self._read_index = ReadIndex(effects, settings, job_index.watcher, READ_TIMEOUT_S)
+        self._records = JobRecords(context, store, job_index)
+        self._read_index = ReadIndex(context, job_index.watcher, READ_TIMEOUT_S)
         self._types = types
         self._progress = progress
         self._versions = versions
-        self._old_view_s = settings.params.workers.cancel_s * OLD_VIEW_SHARE
-        self._teams = {team.name: team for team in settings.params.teams}
+        self._old_view_s = context.workers.cancel_s * OLD_VIEW_SHARE
+        self._teams = {team.name: team for team in context.settings.params.teams}
 
     # -- answers
 
--- a/tealhook/api.py
+++ b/tealhook/api.py
@@ -3,14 +3,13 @@
 from __future__ import annotations
 
 from tealhook.admission.admission import Admission
+from tealhook.context import NodeContext
 from tealhook.coordination import Versions
 from tealhook.gossip import PeerStates
 from tealhook.http import Reply, Request
 from tealhook.jobs import JobIndex
-from tealhook.loop.effects import Effects
 from tealhook.mesh import Mesh
 from tealhook.partitions import PartitionManager
-from tealhook.settings import Settings
 from tealhook.state_store import StateClient
 from tealhook.wire import mesh as wire
 from tealhook.wire.common import error_body
@@ -25,8 +24,7 @@
 
     def __init__(
         self,
-        effects: Effects,
-        settings: Settings,
+        context: NodeContext,
         store: StateClient,
         job_index: JobIndex,
         mesh: Mesh,
@@ -39,8 +37,8 @@
 
         `peers` says who can stand in without the state service, `versions` whether any of them may decide all.
         """
-        self._effects = effects
-        self._workers = settings.params.workers
+        self._effects = context.effects
+        self._workers = context.workers
         self._store = store
         self._job_index = job_index
         self._mesh = mesh
--- a/tealhook/coordination/ownership.py
+++ b/tealhook/coordination/ownership.py
@@ -11,6 +11,7 @@
 from functools import partial
 from typing import Any
 
+from tealhook.context import NodeContext
 from tealhook.coordination.balancing import (
     FLEET_KEY,
     NODE_PREFIX,
@@ -22,8 +23,7 @@
     team_key,
 )
 from tealhook.coordination.stability import Stability
-from tealhook.loop.effects import Effects, every
-from tealhook.settings import Settings
+from tealhook.loop.effects import every
 from tealhook.state_store.client import CallPriority, Outcome, ReadKind, RenewKind, StateClient
 from tealhook.state_store.watcher import Watcher
 from tealhook.wire import state as wire
@@ -50,15 +50,14 @@
 class Ownership:
     """This node's lease, its claims, and the view of everybody's."""
 
-    def __init__(self, effects: Effects, settings: Settings, store: StateClient) -> None:
+    def __init__(self, context: NodeContext, store: StateClient) -> None:
         """Nothing is read or claimed before `start`; `listener` and `reachable` are to be set until then."""
-        self._effects = effects
+        self._effects = context.effects
         self._store = store
-        self.node = settings.node
-        self._domain = settings.domain
-        self.lease_ttl_s = settings.params.workers.lease_s / 3
-        self.incarnation = effects.rng.getrandbits(62)
-        self._incarnation = f"{self.incarnation:x}"
+        self.node = context.node
+        self._domain = context.settings.domain
+        self.lease_ttl_s = context.workers.lease_s / 3
+        self._incarnation = f"{context.incarnation:x}"
         self._lease: int | None = None
         self._registered = False
         self._writing = False
@@ -66,13 +65,13 @@
         self._claim_not_before = -1e9  # a rejected claim is not repeated before
         self._records: dict[str, OwnershipRecord] = {}
         self._absent_since: dict[str, float] = {}
-        self._stability = Stability(self.lease_ttl_s, effects.now())
-        self._ticked_at = effects.now()  # when a frequent timer of ours last ran
+        self._stability = Stability(self.lease_ttl_s, context.effects.now())
+        self._ticked_at = context.effects.now()  # when a frequent timer of ours last ran
         self._stood_still_at = -1e9  # when it was last found that none had run for long
         self._handed_over_at = -1e9
         self._wanted_keys: set[str] = {FLEET_KEY}
-        self._wanted_keys.update(team_key(name) for name in settings.team_names)
-        self._wanted_keys.update(partition_key(zone) for zone in settings.params.zones)
+        self._wanted_keys.update(team_key(name) for name in context.settings.team_names)
+        self._wanted_keys.update(partition_key(zone) for zone in context.settings.params.zones)
         self._own_tokens: dict[str, int] = {}  # what the listener was told that we own
         self.listener: Callable[[str, int | None], Any] = lambda _key, _token: None
         self.is_reachable: Callable[[str], bool] = lambda _node: True
@@ -81,7 +80,12 @@
         self._shunned_until: dict[str, float] = {}  # keys that we gave up for that, not to be claimed before
         self._stranded_since: float | None = None  # since when no owner of a part can be reached
         self.watcher = Watcher(
-            effects, store, OWNERSHIP_PREFIX, settings.params.workers.lease_s / 12, self._on_rows, self._on_events
+            context.effects,
+            store,
+            OWNERSHIP_PREFIX,
+            context.workers.lease_s / 12,
+            self._on_rows,
+            self._on_events,
         )
 
     def start(self) -> None:
--- a/tealhook/coordination/versions.py
+++ b/tealhook/coordination/versions.py
@@ -11,9 +11,8 @@
 
 from typing import Any
 
+from tealhook.context import NodeContext
 from tealhook.coordination.ownership import NODE_PREFIX
-from tealhook.loop.effects import Effects
-from tealhook.settings import Settings
 from tealhook.state_store.client import CallPriority, Outcome, StateClient
 from tealhook.wire import state as wire
 
@@ -26,14 +25,14 @@
 class Versions:
     """This node's record, what the others have said, and whether all have agreed."""
 
-    def __init__(self, effects: Effects, settings: Settings, store: StateClient, incarnation: int) -> None:
+    def __init__(self, context: NodeContext, store: StateClient) -> None:
         """`incarnation` names this process, as its registration does."""
-        self._effects = effects
+        self._effects = context.effects
         self._store = store
-        self._key = PREFIX + settings.node
-        self._nodes = sorted({settings.node, *settings.peers})
-        self._value = {"v": VERSION, "b": f"{incarnation:x}"}
-        self._pause_s = settings.params.workers.report_s
+        self._key = PREFIX + context.node
+        self._nodes = sorted({context.node, *context.settings.peers})
+        self._value = {"v": VERSION, "b": f"{context.incarnation:x}"}
+        self._pause_s = context.workers.report_s
         self._agreed = False
 
     @property
--- a/tealhook/fleet/cloud_calls.py
+++ b/tealhook/fleet/cloud_calls.py
@@ -8,14 +8,13 @@
 
 import msgspec
 
+from tealhook.context import NodeContext
 from tealhook.coordination import Ownership, partition_key
 from tealhook.fleet.boots import BootTimes
 from tealhook.fleet.machine_types import TypesStore
 from tealhook.fleet.machines import RentedMachine
 from tealhook.loop import TokenBucket
-from tealhook.loop.effects import Effects
 from tealhook.mesh import Mesh
-from tealhook.settings import Policy, Settings
 from tealhook.state_store import StateClient
 from tealhook.wire import cloud as wire
 from tealhook.wire.workers import FAILOVER_S
@@ -37,30 +36,26 @@
 
     def __init__(
         self,
-        effects: Effects,
-        settings: Settings,
-        policy: Policy,
+        context: NodeContext,
         ownership: Ownership,
         store: StateClient,
         mesh: Mesh,
         types: dict[str, wire.MachineType],
-        variables: Callable[[], dict[str, float]],
         on_gone: Callable[[list[str]], Any],
     ) -> None:
         """`types` is filled in place; `variables` gives the policy's figures; `on_gone` hears of proven releases."""
-        self._effects = effects
-        self._settings = settings
-        self._policy = policy
+        self._effects = context.effects
+        self._settings = context.settings
+        self._policy = context.policy
         self._ownership = ownership
         self._store = store
         self._mesh = mesh
         self._types = types
         self._types_store = TypesStore(store)
-        self._variables = variables
         self._on_gone = on_gone
-        self._lag = settings.params.cloud.list_lag_s
-        rate = settings.params.cloud.rps * USED_SHARE
-        self._bucket = TokenBucket(rate, 2 * rate, effects.now())
+        self._lag = context.settings.params.cloud.list_lag_s
+        rate = context.settings.params.cloud.rps * USED_SHARE
+        self._bucket = TokenBucket(rate, 2 * rate, context.effects.now())
         self._token: int | None = None
         self._reset()
 
--- a/tealhook/fleet/manager.py
+++ b/tealhook/fleet/manager.py
@@ -11,15 +11,14 @@
 from collections.abc import Callable
 from typing import Any
 
+from tealhook.context import NodeContext
 from tealhook.coordination import Ownership
 from tealhook.fleet.cloud_calls import TYPES_LAGS
 from tealhook.fleet.demand import DemandHistory, Horizon, OrdinaryDemand
 from tealhook.fleet.draining import Draining
 from tealhook.fleet.renting import Renting
 from tealhook.fleet.sizing import FleetView, Need, Supply, find_need, find_shortages
-from tealhook.loop.effects import Effects
 from tealhook.mesh import Mesh
-from tealhook.settings import Policy, Settings
 from tealhook.state_store import StateClient
 from tealhook.wire import cloud as wire
 from tealhook.wire import mesh as mesh_wire
@@ -35,21 +34,18 @@
 
     def __init__(
         self,
-        effects: Effects,
-        settings: Settings,
-        policy: Policy,
+        context: NodeContext,
         ownership: Ownership,
         store: StateClient,
         mesh: Mesh,
         types: dict[str, wire.MachineType],
-        variables: Callable[[], dict[str, float]],
         on_gone: Callable[[list[str]], Any],
     ) -> None:
         """Every node reads the machine types; the arguments are those of `CloudCalls`."""
-        super().__init__(effects, settings, policy, ownership, store, mesh, types, variables, on_gone)
-        self._step_every = settings.params.workers.report_s / 2
-        effects.later(0.0, self._read_types)
-        effects.later(self._step_every, self._step)
+        super().__init__(context, ownership, store, mesh, types, on_gone)
+        self._step_every = context.workers.report_s / 2
+        context.effects.later(0.0, self._read_types)
+        context.effects.later(self._step_every, self._step)
 
     def _reset(self) -> None:
         super()._reset()
@@ -115,7 +111,7 @@
 
     def _balance(self, view: FleetView, now: float) -> None:
         """Rent what is missing, and return what is too much."""
-        variables = self._variables()
+        variables = self._policy.variables()
         if self._history is None:
             self._history = DemandHistory(variables["boot_s"])
         history, horizon = self._history, Horizon(self._settings, variables["boot_s"])
--- a/tealhook/fleet/releasing.py
+++ b/tealhook/fleet/releasing.py
@@ -60,7 +60,7 @@
 
     def _watch_health(self, states: dict[str, mesh_wire.MachineState], zones: set[str], now: float) -> None:
         """Fence machines that are silent, taken back, or never came up."""
-        fence_s = self._policy.value("fence_s", self._variables())
+        fence_s = self._policy.value("fence_s")
         for machine in self._machines.values():
             state = states.get(machine.name)
             if state is not None or machine.zone not in zones:
--- a/tealhook/gossip.py
+++ b/tealhook/gossip.py
@@ -2,15 +2,14 @@
 
 from __future__ import annotations
 
+from tealhook.context import NodeContext
 from tealhook.coordination import FLEET_KEY, Ownership, partition_key, team_key
 from tealhook.fleet import FleetManager
 from tealhook.fleet.demand import OrdinaryDemand
 from tealhook.jobs import JobIndex
-from tealhook.loop.effects import Effects
 from tealhook.mesh import Mesh
 from tealhook.partitions import PartitionManager
 from tealhook.scheduling.team_scheduler import TeamScheduler
-from tealhook.settings import Settings
 from tealhook.state_store import StateClient
 from tealhook.wire import mesh as wire
 
@@ -20,11 +19,11 @@
 class PeerStates:
     """From which peers a message came lately, and which of them the state service answers."""
 
-    def __init__(self, effects: Effects, mesh: Mesh, report_s: float) -> None:
-        """`report_s`: the gossip goes out twice in that time."""
-        self._effects = effects
+    def __init__(self, context: NodeContext, mesh: Mesh) -> None:
+        """Gossip goes out twice per heartbeat period."""
+        self._effects = context.effects
         self._mesh = mesh
-        self._report_s = report_s
+        self._report_s = context.workers.report_s
         self.served_at: dict[str, float] = {}  # peer -> when the state service last served it
 
     def reachable(self, node: str) -> bool:
@@ -38,8 +37,7 @@
 
     def __init__(
         self,
-        effects: Effects,
-        settings: Settings,
+        context: NodeContext,
         ownership: Ownership,
         store: StateClient,
         mesh: Mesh,
@@ -51,8 +49,8 @@
         progress: dict[str, tuple[int, int]],
     ) -> None:
         """`progress`: tasks done and running of each active job, for answers to users; kept up to date here."""
-        self._effects = effects
-        self._workers = settings.params.workers
+        self._effects = context.effects
+        self._workers = context.workers
         self._ownership = ownership
         self._store = store
         self._mesh = mesh
--- a/tealhook/jobs/index.py
+++ b/tealhook/jobs/index.py
@@ -11,8 +11,7 @@
 
 import msgspec
 
-from tealhook.loop.effects import Effects
-from tealhook.settings import Settings
+from tealhook.context import NodeContext
 from tealhook.state_store.client import StateClient
 from tealhook.state_store.watcher import Watcher
 from tealhook.wire import state as state_wire
@@ -116,10 +115,10 @@
 class JobIndex:
     """Active jobs with their specs, and the last so many that have ended."""
 
-    def __init__(self, effects: Effects, settings: Settings, store: StateClient) -> None:
+    def __init__(self, context: NodeContext, store: StateClient) -> None:
         """An empty view; `start` fills it and keeps it up to date."""
-        self._effects = effects
-        memory_bytes = settings.params.limits.mem_mb * 2**20
+        self._effects = context.effects
+        memory_bytes = context.settings.params.limits.mem_mb * 2**20
         self._max_ended = max(LEAST_ENDED, int(memory_bytes * ENDED_SHARE / ENDED_BYTES))
         self.is_complete = (
             True  # no job has been forgotten, and no record was unreadable: what is lacking does not exist
@@ -134,7 +133,12 @@
         self.listener: Callable[[str], Any] = lambda _job: None
         self.on_synced: Callable[[], Any] = lambda: None
         self.watcher = Watcher(
-            effects, store, JOBS_PREFIX, settings.params.workers.lease_s / 10, self._on_rows, self._on_events
+            context.effects,
+            store,
+            JOBS_PREFIX,
+            context.workers.lease_s / 10,
+            self._on_rows,
+            self._on_events,
         )
 
     def start(self) -> None:
--- a/tealhook/jobs/records.py
+++ b/tealhook/jobs/records.py
@@ -12,8 +12,8 @@
 
 import msgspec
 
+from tealhook.context import NodeContext
 from tealhook.jobs.index import JobIndex, JobRecord, job_key, parse_record
-from tealhook.loop.effects import Effects
 from tealhook.state_store import CallPriority, Outcome, StateClient
 from tealhook.state_store.client import CALL_TIMEOUT_S
 from tealhook.wire import state as state_wire
@@ -33,9 +33,9 @@
 class JobRecords:
     """Reads and ends job records; the index of jobs learns what comes of it."""
 
-    def __init__(self, effects: Effects, store: StateClient, job_index: JobIndex) -> None:
+    def __init__(self, context: NodeContext, store: StateClient, job_index: JobIndex) -> None:
         """Records of `store`, of which `book` is told."""
-        self._effects = effects
+        self._effects = context.effects
         self._store = store
         self._job_index = job_index
 
--- a/tealhook/mesh/mesh.py
+++ b/tealhook/mesh/mesh.py
@@ -8,7 +8,7 @@
 
 import msgspec
 
-from tealhook.loop.effects import Effects
+from tealhook.context import NodeContext
 from tealhook.wire import mesh as wire
 
 log = logging.getLogger("tealhook.mesh")
@@ -23,12 +23,12 @@
 class Mesh:
     """`handler(sender, body, reply)` serves requests; `reply` may be called later, or never."""
 
-    def __init__(self, effects: Effects, node: str, peers: list[str], incarnation: int) -> None:
-        """`node` is our name, `peers` the names we accept frames from, `incarnation` the random id of this process."""
-        self._effects = effects
-        self.node = node
-        self.peers = peers
-        self._incarnation = incarnation
+    def __init__(self, context: NodeContext) -> None:
+        """Frames are accepted from the peers that the settings name."""
+        self._effects = context.effects
+        self.node = context.node
+        self.peers = list(context.settings.peers)
+        self._incarnation = context.incarnation
         self._number = 0
         self._pending: dict[int, Answered] = {}
         self._numbers: dict[tuple[str, int], int] = {}  # (sender, incarnation) -> number of its newest gossip
--- /dev/null
+++ b/tealhook/mesh_handler.py
@@ -0,0 +1,112 @@
+"""Messages of other controllers, and of this one to itself: which component each of them goes to."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+from typing import Any
+
+from tealhook.fleet import FleetManager
+from tealhook.gossip import GossipExchange
+from tealhook.http import Request
+from tealhook.mesh.mesh import Reply
+from tealhook.partitions import PartitionManager
+from tealhook.partitions.partition import Partition
+from tealhook.scheduling import TeamScheduler
+from tealhook.wire import mesh as wire
+
+PartitionMessage = (
+    wire.CapacityInquiry
+    | wire.ReserveRequest
+    | wire.LaunchRequest
+    | wire.ReconcileRequest
+    | wire.StopRequest
+    | wire.DrainRequest
+)
+
+
+class MeshHandler:
+    """Takes each message to the component that owns what it is about."""
+
+    def __init__(
+        self,
+        gossip: GossipExchange,
+        team_scheduler: TeamScheduler,
+        partition_manager: PartitionManager,
+        fleet_manager: FleetManager,
+        on_user_request: Callable[..., Any],
+    ) -> None:
+        """`on_user_request` decides users' requests that another controller could not."""
+        self._gossip = gossip
+        self._team_scheduler = team_scheduler
+        self._partition_manager = partition_manager
+        self._fleet_manager = fleet_manager
+        self._on_user_request = on_user_request
+
+    def on_message(self, _sender: str, body: wire.Body, reply: Reply) -> None:
+        """Handle a message; requests are answered by `reply`, at once, later or never."""
+        match body:
+            case wire.Gossip():
+                self._gossip.receive(body)
+            case wire.StatusUpdate():
+                self._team_scheduler.on_status_update(body)
+            case wire.MachinesReleased(machines=machines):
+                for name in machines:
+                    self._partition_manager.forget_machine(name)
+                self._team_scheduler.on_machines_released(machines)
+            case wire.FenceRequest(machines=machines):
+                self._fleet_manager.fence(machines)
+            case wire.RelayRequest(heartbeat=heartbeat):
+                self._partition_manager.on_heartbeat(
+                    heartbeat, lambda status, data: reply(wire.RelayReply(status, data)), relayed=True
+                )
+            case wire.ForwardRequest():
+                self._on_forwarded(body, reply)
+            case (
+                wire.CapacityInquiry()
+                | wire.ReserveRequest()
+                | wire.LaunchRequest()
+                | wire.ReconcileRequest()
+                | wire.StopRequest()
+                | wire.DrainRequest()
+            ):
+                self._on_partition_message(body, reply)
+            case _:
+                reply(wire.Refused("not a request"))
+
+    def _on_forwarded(self, body: wire.ForwardRequest, reply: Reply) -> None:
+        """A user's request taken by a node that the state service does not serve."""
+        request = Request(body.method, body.target, {}, True)
+        request.body = body.body
+
+        def answer(status: int, data: bytes = b"{}", retry_after_s: int | None = None) -> None:
+            reply(wire.ForwardReply(status, data, retry_after_s))
+
+        self._on_user_request(request, answer)
+
+    def _on_partition_message(self, body: PartitionMessage, reply: Reply) -> None:
+        """A message to the owner of a partition, which this node may be no more."""
+        partition = self._partition_manager.partitions.get(body.zone)
+        if partition is None:
+            reply(wire.Refused("not the owner"))
+            return
+        match body:
+            case wire.CapacityInquiry():
+                reply(partition.capacity.inquire(body.requirements))
+            case wire.ReserveRequest():
+                reply(partition.capacity.reserve(body))
+            case wire.LaunchRequest():
+                reply(_launch(partition, body))
+            case wire.ReconcileRequest():
+                reply(partition.reconcile(body))
+                partition.publish_requested(body)
+            case wire.StopRequest():
+                partition.stop(body)
+            case wire.DrainRequest():
+                partition.drain(body.machines)
+
+
+def _launch(partition: Partition, request: wire.LaunchRequest) -> wire.LaunchReply:
+    """Launch on reservations. They are numbered per owner: one made under another token is refused."""
+    if request.token == partition.token:
+        return partition.launch(request)
+    return wire.LaunchReply(partition.token, 0, [start.reservation_id for start in request.starts])
--- a/tealhook/partitions/capacity.py
+++ b/tealhook/partitions/capacity.py
@@ -9,12 +9,11 @@
 from collections import OrderedDict
 from collections.abc import Iterator
 
+from tealhook.context import NodeContext
 from tealhook.jobs.index import JobIndex
-from tealhook.loop.effects import Effects
 from tealhook.partitions.machine import Machine, MachineTask, Reservation, Resources, capacity, fits, slots
 from tealhook.partitions.packing import FreeRoom, without
 from tealhook.partitions.preemption import Preemption
-from tealhook.settings import Settings
 from tealhook.wire import mesh
 from tealhook.wire.cloud import MachineType
 from tealhook.wire.workers import TaskStatus
@@ -42,8 +41,7 @@
 
     def __init__(
         self,
-        effects: Effects,
-        settings: Settings,
+        context: NodeContext,
         token: int,
         job_index: JobIndex,
         types: dict[str, MachineType],
@@ -51,18 +49,18 @@
         machines: dict[str, Machine],
     ) -> None:
         """`machines` is shared with the partition; `over`: a team's CPUs beyond its guarantee, as its owner says."""
-        self._effects = effects
-        self._workers = settings.params.workers
+        self._effects = context.effects
+        self._workers = context.workers
         self._token = token
         self._job_index = job_index
         self._types = types
-        self._preemption = Preemption(effects, settings, job_index, over)
+        self._preemption = Preemption(context, job_index, over)
         self._machines = machines
         self._team_tokens: dict[str, int] = {}
-        memory_bytes = settings.params.limits.mem_mb * 2**20
+        memory_bytes = context.settings.params.limits.mem_mb * 2**20
         self._most_jobs = max(LEAST_JOBS, int(memory_bytes * JOBS_SHARE / JOB_BYTES))
         self._reserved_on: dict[int, Machine] = {}  # reservation -> its machine
-        self._last_reservation_id = effects.rng.getrandbits(40) << 20
+        self._last_reservation_id = context.effects.rng.getrandbits(40) << 20
         self._fetch_rates: dict[str, float] = {}
         # Inquiries come several times a report period, from every home, for every waiting job: what they
         # have in common is worked out once, and kept while nothing changes.
--- a/tealhook/partitions/commands.py
+++ b/tealhook/partitions/commands.py
@@ -4,8 +4,8 @@
 
 from collections.abc import Callable
 
+from tealhook.context import NodeContext
 from tealhook.jobs.index import JobIndex, JobState
-from tealhook.loop.effects import Effects
 from tealhook.partitions.capacity import CapacityManager
 from tealhook.partitions.machine import Machine, MachineTask, capacity, fits
 from tealhook.partitions.status_updates import Updates
@@ -28,7 +28,7 @@
 
     def __init__(
         self,
-        effects: Effects,
+        context: NodeContext,
         token: int,
         job_index: JobIndex,
         types: dict[str, MachineType],
@@ -37,7 +37,7 @@
         updates: Updates,
     ) -> None:
         """Commands under `token`; answers to launches are numbered among `updates`."""
-        self._effects = effects
+        self._effects = context.effects
         self._token = token
         self._job_index = job_index
         self._types = types
--- a/tealhook/partitions/manager.py
+++ b/tealhook/partitions/manager.py
@@ -9,12 +9,12 @@
 
 import msgspec
 
+from tealhook.context import NodeContext
 from tealhook.coordination import Ownership, partition_key
 from tealhook.jobs.index import JobIndex
-from tealhook.loop.effects import Cancellable, Effects, every
+from tealhook.loop.effects import Cancellable, every
 from tealhook.mesh import Mesh
 from tealhook.partitions.partition import DRIFT, Partition
-from tealhook.settings import Settings
 from tealhook.wire import mesh as mesh_wire
 from tealhook.wire import workers as wire
 from tealhook.wire.cloud import MachineType
@@ -47,8 +47,7 @@
 
     def __init__(
         self,
-        effects: Effects,
-        settings: Settings,
+        context: NodeContext,
         ownership: Ownership,
         job_index: JobIndex,
         mesh: Mesh,
@@ -57,8 +56,9 @@
         strangers: Callable[[str], Any],
     ) -> None:
         """No part yet; `tell` takes what homes are to hear of machines, `strangers` jobs that nobody here knows."""
-        self._effects = effects
-        self._settings = settings
+        self._context = context
+        self._effects = context.effects
+        self._settings = context.settings
         self._ownership = ownership
         self._job_index = job_index
         self._mesh = mesh
@@ -72,12 +72,12 @@
         self._released: OrderedDict[str, float] = OrderedDict()  # machines that were released, and when we heard of it
         self._relaying: dict[str, float] = {}  # machine -> since when its reports are relayed
         self._most_tracked = LEAST_TRACKED  # before old entries of these are looked for
-        workers = settings.params.workers
+        workers = context.workers
         # Once our view of cancellations is older than this, a task that was cancelled meanwhile must be
         # left to die by its worker's lease: the lease ends at most lease_s after the last report that we
         # answered was sent.
         self._max_view_age_s = workers.cancel_s - DRIFT * workers.lease_s - workers.report_s / 4
-        every(effects, workers.lease_s / 8, self._probe)
+        every(context.effects, workers.lease_s / 8, self._probe)
         self.on_zone: Callable[[str], Any] = lambda _zone: None
         self.crowded: Callable[[], bool] = lambda: False  # whether connections are scarce
 
@@ -90,8 +90,7 @@
         self.partitions.pop(zone, None)
         if token is not None:
             part = self.partitions[zone] = Partition(
-                self._effects,
-                self._settings,
+                self._context,
                 zone,
                 token,
                 self._job_index,
--- a/tealhook/partitions/partition.py
+++ b/tealhook/partitions/partition.py
@@ -9,14 +9,13 @@
 from collections.abc import Callable
 from typing import Any
 
+from tealhook.context import NodeContext
 from tealhook.jobs.index import JobIndex
-from tealhook.loop.effects import Effects
 from tealhook.partitions.capacity import CapacityManager
 from tealhook.partitions.commands import Commands
 from tealhook.partitions.machine import EPSILON, MAX_RESENDS, Machine, MachineTask
 from tealhook.partitions.status_updates import Updates
 from tealhook.partitions.worker_calls import Calls
-from tealhook.settings import Settings
 from tealhook.wire import mesh
 from tealhook.wire import workers as wire
 from tealhook.wire.cloud import MachineType
@@ -36,8 +35,7 @@
 
     def __init__(
         self,
-        effects: Effects,
-        settings: Settings,
+        context: NodeContext,
         zone: str,
         token: int,
         job_index: JobIndex,
@@ -47,22 +45,22 @@
         strangers: Callable[[str], Any],
     ) -> None:
         """No machine is known yet: each is learned from its first report under `token`."""
-        self._effects = effects
-        self._workers = settings.params.workers
+        self._effects = context.effects
+        self._workers = context.workers
         self.zone = zone
         self.token = token
         self._job_index = job_index
         self._types = types
         self.machines: dict[str, Machine] = {}
-        self.capacity = CapacityManager(effects, settings, token, job_index, types, over, self.machines)
-        self.calls = Calls(effects, settings, token, self.machines)
-        self.updates = Updates(effects, settings, zone, token, self.machines, self.capacity, tell, strangers)
-        self.commands = Commands(effects, token, job_index, types, self.machines, self.capacity, self.updates)
+        self.capacity = CapacityManager(context, token, job_index, types, over, self.machines)
+        self.calls = Calls(context, token, self.machines)
+        self.updates = Updates(context, zone, token, self.machines, self.capacity, tell, strangers)
+        self.commands = Commands(context, token, job_index, types, self.machines, self.capacity, self.updates)
         # Each report takes these two: they are called without a step between.
         self._publish = self.updates.publish
         self._orders = self.commands.commands_for
         self._job_errors: dict[str, set[str]] = {}
-        self._owned_at = effects.now()
+        self._owned_at = context.effects.now()
 
     # -- reports
 
--- a/tealhook/partitions/preemption.py
+++ b/tealhook/partitions/preemption.py
@@ -4,10 +4,9 @@
 
 from typing import NamedTuple
 
+from tealhook.context import NodeContext
 from tealhook.jobs.index import JobIndex
-from tealhook.loop.effects import Effects
 from tealhook.partitions.machine import Machine, MachineTask, Resources, fits
-from tealhook.settings import Settings
 from tealhook.wire import mesh
 from tealhook.wire.workers import TaskStatus
 
@@ -25,11 +24,11 @@
 class Preemption:
     """Chooses tasks to stop: less urgent ones, or what another team runs beyond its guarantee."""
 
-    def __init__(self, effects: Effects, settings: Settings, job_index: JobIndex, over: dict[str, float]) -> None:
+    def __init__(self, context: NodeContext, job_index: JobIndex, over: dict[str, float]) -> None:
         """`over`: a team's CPUs beyond its guarantee, as its owner says."""
-        self._effects = effects
-        self._workers = settings.params.workers
-        self._done_within = settings.done_within()
+        self._effects = context.effects
+        self._workers = context.workers
+        self._done_within = context.settings.done_within()
         self._job_index = job_index
         self._over = over
 
--- a/tealhook/partitions/status_updates.py
+++ b/tealhook/partitions/status_updates.py
@@ -5,10 +5,9 @@
 from collections.abc import Callable
 from typing import Any
 
-from tealhook.loop.effects import Effects
+from tealhook.context import NodeContext
 from tealhook.partitions.capacity import CapacityManager
 from tealhook.partitions.machine import Machine
-from tealhook.settings import Settings
 from tealhook.wire import mesh
 from tealhook.wire import workers as wire
 
@@ -24,8 +23,7 @@
 
     def __init__(
         self,
-        effects: Effects,
-        settings: Settings,
+        context: NodeContext,
         zone: str,
         token: int,
         machines: dict[str, Machine],
@@ -34,11 +32,11 @@
         strangers: Callable[[str], Any],
     ) -> None:
         """News go to `tell`, with the team that they are for; `strangers` hears of jobs that nobody here knows."""
-        self._effects = effects
-        self._workers = settings.params.workers
+        self._effects = context.effects
+        self._workers = context.workers
         self._zone = zone
         self._token = token
-        self._owned_at = effects.now()
+        self._owned_at = context.effects.now()
         self._machines = machines
         self._capacity = room
         self._send = tell
--- a/tealhook/partitions/worker_calls.py
+++ b/tealhook/partitions/worker_calls.py
@@ -8,9 +8,8 @@
 
 import msgspec
 
-from tealhook.loop.effects import Effects
+from tealhook.context import NodeContext
 from tealhook.partitions.machine import Machine
-from tealhook.settings import Settings
 from tealhook.wire import workers as wire
 from tealhook.wire.common import dumps
 
@@ -27,16 +26,18 @@
 class Calls:
     """Calls to the workers of one part, each at most once in a quarter of a lease."""
 
-    def __init__(self, effects: Effects, settings: Settings, token: int, machines: dict[str, Machine]) -> None:
+    def __init__(self, context: NodeContext, token: int, machines: dict[str, Machine]) -> None:
         """The part's owner begins to own it now, under `token`, and may know none of its `machines` yet."""
-        self._effects = effects
-        self._workers = settings.params.workers
+        self._effects = context.effects
+        self._workers = context.workers
         self._token = token
         self._machines = machines
-        self._owned_at = effects.now()
+        self._owned_at = context.effects.now()
         self._called: dict[str, float] = {}  # machine -> when its worker was last told of our token
         self._waiting: deque[tuple[str, str]] = deque()  # machines and addresses of workers still to be told
-        self._most = max(16, settings.params.limits.max_connections // 32)  # half of the direct calls' connections
+        self._most = max(
+            16, context.settings.params.limits.max_connections // 32
+        )  # half of the direct calls' connections
         self._under_way = 0
 
     def announce_token(self, addrs: dict[str, str]) -> None:
--- a/tealhook/scheduling/attempts.py
+++ b/tealhook/scheduling/attempts.py
@@ -10,16 +10,15 @@
 from functools import partial
 from typing import Any
 
+from tealhook.context import NodeContext
 from tealhook.coordination import Ownership, partition_key
 from tealhook.jobs.index import JobIndex
 from tealhook.jobs.job import Attempt, Job, WriteState
 from tealhook.jobs.tasks import PATIENT_FAILURES
 from tealhook.jobs.team import TeamState
-from tealhook.loop.effects import Effects
 from tealhook.mesh import Mesh
 from tealhook.placement import Feedback, PlacementEstimate
 from tealhook.scheduling.commits import Commits
-from tealhook.settings import Policy, Settings
 from tealhook.state_store import StateClient
 from tealhook.wire import mesh as wire
 from tealhook.wire.workers import ExitCause, TaskStatus
@@ -34,26 +33,22 @@
 
     def __init__(
         self,
-        effects: Effects,
-        settings: Settings,
-        policy: Policy,
+        context: NodeContext,
         ownership: Ownership,
         store: StateClient,
         job_index: JobIndex,
         mesh: Mesh,
-        variables: Callable[[], dict[str, float]],
         teams: dict[str, TeamState],
     ) -> None:
         """Attempts of the jobs in `homes`; what has to be on record goes by `commits`."""
-        self._effects = effects
-        self._policy = policy
+        self._effects = context.effects
+        self._policy = context.policy
         self._ownership = ownership
         self._mesh = mesh
-        self._variables = variables
-        self._workers = settings.params.workers
+        self._workers = context.workers
         self._teams = teams
         self.on_machine: dict[str, set[tuple[str, str, int]]] = {}  # machine -> (team, job, index)
-        self.commits = Commits(effects, settings, store, job_index, teams, self)
+        self.commits = Commits(context, store, job_index, teams, self)
         self.wake_scheduler: Callable[[], Any] = lambda: None  # there may be something to place
         self.reconcile: Callable[[TeamState], Any] = lambda _home: None  # ask what is on the machines of a home
 
@@ -199,7 +194,7 @@
 
     def _learn_feedback(self, team_state: TeamState, zone: str, placed: PlacementEstimate, now: float) -> None:
         factor = team_state.factors.setdefault(zone, Feedback(now))
-        factor.finish(placed, now, self._policy.value("feedback", self._variables()))
+        factor.finish(placed, now, self._policy.value("feedback"))
 
     def _remove(self, team_state: TeamState, job: Job, attempt: Attempt) -> None:
         """The attempt is certainly not on its machine any more."""
--- a/tealhook/scheduling/candidates.py
+++ b/tealhook/scheduling/candidates.py
@@ -3,12 +3,11 @@
 from __future__ import annotations
 
 import math
-from collections.abc import Callable
 
+from tealhook.context import NodeContext
 from tealhook.jobs.index import JobIndex
 from tealhook.jobs.job import Job, WriteState
 from tealhook.jobs.team import TeamState
-from tealhook.settings import Policy, Settings
 from tealhook.wire.users import PRIORITY_RANK, STANDARD_RANK, JobSpec
 
 MAX_CANDIDATES = 48  # jobs looked at in one cycle
@@ -72,22 +71,14 @@
 class CandidateSelection:
     """Chooses the candidates of a cycle from the jobs of the teams that this node owns."""
 
-    def __init__(
-        self,
-        settings: Settings,
-        policy: Policy,
-        variables: Callable[[], dict[str, float]],
-        teams: dict[str, TeamState],
-        job_index: JobIndex,
-    ) -> None:
+    def __init__(self, context: NodeContext, teams: dict[str, TeamState], job_index: JobIndex) -> None:
         """`variables`: those of the policy, as they are now."""
         self._job_index = job_index
-        self._policy = policy
-        self._variables = variables
+        self._policy = context.policy
         self._teams = teams
-        self._done_within = settings.done_within()
-        self._lease_s = settings.params.workers.lease_s
-        objectives = settings.params.objectives
+        self._done_within = context.settings.done_within()
+        self._lease_s = context.workers.lease_s
+        objectives = context.settings.params.objectives
         self._guarantee_s = min(
             (o.within_s for o in objectives if o.kind == "guarantee" and o.within_s), default=self._lease_s / 2
         )
@@ -99,7 +90,7 @@
 
     def select(self, now: float) -> list[Candidate]:
         """The first so many candidates, by rank and then by age."""
-        variables = self._variables()
+        variables = self._policy.variables()
         hold_age_s, begin_s = self._policy.value("hold_age_s", variables), variables["begin_s"]
         found: list[Candidate] = []
         for team in self._teams.values():
--- a/tealhook/scheduling/commits.py
+++ b/tealhook/scheduling/commits.py
@@ -8,14 +8,14 @@
 import logging
 from typing import Protocol
 
+from tealhook.context import NodeContext
 from tealhook.coordination import partition_key
 from tealhook.jobs.index import JobIndex, JobRecord, JobState, job_key
 from tealhook.jobs.job import Attempt, Job, WriteState, assignment_key, parse_assignment_key
 from tealhook.jobs.records import JobRecords
 from tealhook.jobs.team import TeamState
-from tealhook.loop.effects import Cancellable, Effects
+from tealhook.loop.effects import Cancellable
 from tealhook.scheduling.job_writes import SMALLER, TXN_BYTES, Changes, JobWrite, Kind
-from tealhook.settings import Settings
 from tealhook.state_store import CallPriority, Outcome, StateClient
 from tealhook.wire import state as state_wire
 from tealhook.wire.common import dumps
@@ -57,20 +57,19 @@
 
     def __init__(
         self,
-        effects: Effects,
-        settings: Settings,
+        context: NodeContext,
         store: StateClient,
         job_index: JobIndex,
         teams: dict[str, TeamState],
         keeper: AttemptObserver,
     ) -> None:
         """Writes of the jobs in `homes`; `keeper` is told what came of them."""
-        self._effects = effects
-        self._workers = settings.params.workers
+        self._effects = context.effects
+        self._workers = context.workers
         self._store = store
         self._job_index = job_index
-        self._records = JobRecords(effects, store, job_index)
-        self._changes = Changes(effects, store, self._records)
+        self._records = JobRecords(context, store, job_index)
+        self._changes = Changes(context, store, self._records)
         self._teams = teams
         self._observer = keeper
         self.proved_off: dict[str, set[tuple[int, int]]] = {}  # job -> attempts proved off, until durable
--- a/tealhook/scheduling/cycle.py
+++ b/tealhook/scheduling/cycle.py
@@ -6,15 +6,14 @@
 from collections.abc import Callable
 from typing import Any
 
+from tealhook.context import NodeContext
 from tealhook.coordination import Ownership, partition_key
 from tealhook.jobs.index import JobIndex
 from tealhook.jobs.job import Attempt, WriteState
 from tealhook.jobs.team import TeamState
-from tealhook.loop.effects import Effects
 from tealhook.mesh import Mesh
 from tealhook.placement import NEVER_S, Choice, Group, PartitionView, PlacementEstimate, plan_cycle
 from tealhook.scheduling.candidates import ROUNDING, Candidate, CandidateSelection
-from tealhook.settings import Policy, Settings
 from tealhook.state_store import CallPriority, StateClient
 from tealhook.wire import mesh as wire
 from tealhook.wire.users import JobKind
@@ -27,28 +26,25 @@
 
     def __init__(
         self,
-        effects: Effects,
-        settings: Settings,
-        policy: Policy,
+        context: NodeContext,
         ownership: Ownership,
         store: StateClient,
         mesh: Mesh,
-        variables: Callable[[], dict[str, float]],
         teams: dict[str, TeamState],
         job_index: JobIndex,
         behind: Callable[[], bool],
         commit_soon: Callable[[], Any],
     ) -> None:
         """`behind`: whether something placed waits for tokens to be made durable."""
-        self._effects = effects
+        self._effects = context.effects
         self._ownership = ownership
         self._store = store
         self._mesh = mesh
         self._teams = teams
         self._behind = behind
         self._commit_soon = commit_soon
-        self._report_s = settings.params.workers.report_s
-        self.selection = CandidateSelection(settings, policy, variables, teams, job_index)
+        self._report_s = context.workers.report_s
+        self.selection = CandidateSelection(context, teams, job_index)
         self._cycle_on = False
         self._pause = self._report_s / 8
         self._schedule()
--- a/tealhook/scheduling/dependencies.py
+++ b/tealhook/scheduling/dependencies.py
@@ -9,10 +9,9 @@
 import logging
 from typing import Any
 
+from tealhook.context import NodeContext
 from tealhook.jobs.index import JobIndex, JobRecord, JobState
 from tealhook.jobs.records import JobRecords
-from tealhook.loop.effects import Effects
-from tealhook.settings import Settings
 from tealhook.state_store import Outcome, StateClient
 
 log = logging.getLogger("tealhook.jobs")
@@ -21,20 +20,13 @@
 class DependencyTracker:
     """Blocked jobs of the homes that this node owns."""
 
-    def __init__(
-        self,
-        effects: Effects,
-        settings: Settings,
-        store: StateClient,
-        job_index: JobIndex,
-        teams: dict[str, Any],
-    ) -> None:
+    def __init__(self, context: NodeContext, store: StateClient, job_index: JobIndex, teams: dict[str, Any]) -> None:
         """For the teams in `homes`, as they come and go."""
-        self._effects = effects
+        self._effects = context.effects
         self._job_index = job_index
-        self._records = JobRecords(effects, store, job_index)
+        self._records = JobRecords(context, store, job_index)
         self._teams = teams
-        self._pause = settings.params.workers.report_s / 50
+        self._pause = context.workers.report_s / 50
         self._due_jobs: dict[str, None] = {}  # blocked jobs to be looked at
         self._is_scheduled = False
         self._max_cancelled = store.max_operations  # cancelled at once; fewer after a write that was too much
--- a/tealhook/scheduling/job_writes.py
+++ b/tealhook/scheduling/job_writes.py
@@ -5,12 +5,12 @@
 import enum
 from collections.abc import Iterable
 
+from tealhook.context import NodeContext
 from tealhook.coordination import partition_key, team_key
 from tealhook.jobs.index import JobState, job_key
 from tealhook.jobs.job import Attempt, Job, assignment_key
 from tealhook.jobs.records import JobRecords, ending
 from tealhook.jobs.team import TeamState
-from tealhook.loop.effects import Effects
 from tealhook.state_store import StateClient
 from tealhook.wire import state as state_wire
 
@@ -65,9 +65,9 @@
 class Changes:
     """Lays out the writes of jobs, within the limits of the state service."""
 
-    def __init__(self, effects: Effects, store: StateClient, records: JobRecords) -> None:
+    def __init__(self, context: NodeContext, store: StateClient, records: JobRecords) -> None:
         """Limits are those of `store`; ends are written as `records` has them."""
-        self._effects = effects
+        self._effects = context.effects
         self._store = store
         self._records = records
 
--- a/tealhook/scheduling/reconciliation.py
+++ b/tealhook/scheduling/reconciliation.py
@@ -2,17 +2,15 @@
 
 from __future__ import annotations
 
-from collections.abc import Callable
 from functools import partial
 from typing import Any
 
+from tealhook.context import NodeContext
 from tealhook.coordination import FLEET_KEY, Ownership, partition_key
 from tealhook.jobs.tasks import ASSIGNED
 from tealhook.jobs.team import TeamState
-from tealhook.loop.effects import Effects
 from tealhook.mesh import Mesh
 from tealhook.scheduling.attempts import Attempts
-from tealhook.settings import Policy, Settings
 from tealhook.wire import mesh as wire
 from tealhook.wire.workers import FAILOVER_S
 
@@ -26,23 +24,14 @@
     """
 
     def __init__(
-        self,
-        effects: Effects,
-        settings: Settings,
-        policy: Policy,
-        ownership: Ownership,
-        mesh: Mesh,
-        variables: Callable[[], dict[str, float]],
-        teams: dict[str, TeamState],
-        attempts: Attempts,
+        self, context: NodeContext, ownership: Ownership, mesh: Mesh, teams: dict[str, TeamState], attempts: Attempts
     ) -> None:
         """For the jobs in `homes`, whose `attempts` say what may be on which machine."""
-        self._effects = effects
-        self._policy = policy
+        self._effects = context.effects
+        self._policy = context.policy
         self._ownership = ownership
         self._mesh = mesh
-        self._variables = variables
-        self._workers = settings.params.workers
+        self._workers = context.workers
         self._teams = teams
         self._attempts = attempts
 
@@ -78,7 +67,7 @@
         if not isinstance(reply, wire.ReconcileReply) or self._teams.get(team_state.name) is not team_state:
             return
         now = self._effects.now()
-        fence_s = self._policy.value("fence_s", self._variables())
+        fence_s = self._policy.value("fence_s")
         # A worker that is up has been heard of again by then, be it by way of another node; when many are silent
         # at once it is rather the way to them that is cut, and they may come back with all their tasks.
         alone_s = min(fence_s, 2 * self._workers.report_s + FAILOVER_S)
--- a/tealhook/scheduling/team_scheduler.py
+++ b/tealhook/scheduling/team_scheduler.py
@@ -11,19 +11,19 @@
 from collections.abc import Callable
 from functools import partial
 
+from tealhook.context import NodeContext
 from tealhook.coordination import Ownership
 from tealhook.jobs.index import JobEntry, JobIndex, JobRecord
 from tealhook.jobs.job import Job, assignment_key, parse_assignment_key
 from tealhook.jobs.records import JobRecords
 from tealhook.jobs.team import TeamState
-from tealhook.loop.effects import Effects, every
+from tealhook.loop.effects import every
 from tealhook.mesh import Mesh
 from tealhook.scheduling import demand
 from tealhook.scheduling.attempts import Attempts
 from tealhook.scheduling.cycle import SchedulingCycle
 from tealhook.scheduling.dependencies import DependencyTracker
 from tealhook.scheduling.reconciliation import Reconciliation
-from tealhook.settings import Policy, Settings
 from tealhook.state_store import StateClient
 from tealhook.wire import mesh as wire
 from tealhook.wire import state as state_wire
@@ -38,51 +38,38 @@
     """All homes that this node owns."""
 
     def __init__(
-        self,
-        effects: Effects,
-        settings: Settings,
-        policy: Policy,
-        ownership: Ownership,
-        store: StateClient,
-        job_index: JobIndex,
-        mesh: Mesh,
-        variables: Callable[[], dict[str, float]],
+        self, context: NodeContext, ownership: Ownership, store: StateClient, job_index: JobIndex, mesh: Mesh
     ) -> None:
         """No home yet: `owned` tells of each that comes or goes."""
-        self._effects = effects
+        self._effects = context.effects
         self._store = store
         self._job_index = job_index
-        self._records = JobRecords(effects, store, job_index)
-        self._workers = settings.params.workers
-        self._variables = variables
-        self._team_settings = {team.name: team for team in settings.params.teams}
+        self._records = JobRecords(context, store, job_index)
+        self._workers = context.workers
+        self._policy = context.policy
+        self._team_settings = {team.name: team for team in context.settings.params.teams}
         self.teams: dict[str, TeamState] = {}
-        self.attempts = Attempts(effects, settings, policy, ownership, store, job_index, mesh, variables, self.teams)
+        self.attempts = Attempts(context, ownership, store, job_index, mesh, self.teams)
         self.commits = self.attempts.commits
         self.cycle = SchedulingCycle(
-            effects,
-            settings,
-            policy,
+            context,
             ownership,
             store,
             mesh,
-            variables,
             self.teams,
             job_index,
             lambda: self.commits.is_backlogged,
             self.commits.schedule_commit,
         )
-        self.pipelines = DependencyTracker(effects, settings, store, job_index, self.teams)
-        self._reconciliation = Reconciliation(
-            effects, settings, policy, ownership, mesh, variables, self.teams, self.attempts
-        )
+        self.pipelines = DependencyTracker(context, store, job_index, self.teams)
+        self._reconciliation = Reconciliation(context, ownership, mesh, self.teams, self.attempts)
         self.attempts.wake_scheduler = self.cycle.wake
         self.attempts.reconcile = self._reconciliation.reconcile
         # What the owners of the parts and of the fleet say of machines.
         self.on_status_update = self.attempts.on_status_update
         self.on_machines_released = self.attempts.on_machines_released
-        every(effects, self._workers.lease_s / 6, self._reconcile_all)
-        every(effects, self._workers.report_s, self._periodic_cleanup)
+        every(context.effects, self._workers.lease_s / 6, self._reconcile_all)
+        every(context.effects, self._workers.report_s, self._periodic_cleanup)
 
     # -- ownership
 
@@ -287,7 +274,7 @@
         Not one whose others take far longer than estimated: nobody knows how long yet, and idle machines are paid for.
         """
         left_s = self._job_index.expected_release_at(job.id) - self._effects.wall()
-        boot_s = self._variables()["boot_s"]
+        boot_s = self._policy.boot_s
         return -OVERDUE_BOOTS * boot_s <= left_s <= AHEAD_BOOTS * boot_s
 
 
--- a/tealhook/state_store/client.py
+++ b/tealhook/state_store/client.py
@@ -10,8 +10,7 @@
 
 import msgspec
 
-from tealhook.loop.effects import Effects
-from tealhook.settings import Settings
+from tealhook.context import NodeContext
 from tealhook.state_store.request_queue import CallPriority, RequestQueue
 from tealhook.wire import state as wire
 from tealhook.wire.common import dumps
@@ -41,10 +40,10 @@
 class StateClient(RequestQueue):
     """One node's calls to the state service, queued by priority."""
 
-    def __init__(self, effects: Effects, settings: Settings) -> None:
+    def __init__(self, context: NodeContext) -> None:
         """Budgets and the limits of what may be written come from the settings."""
-        super().__init__(effects, settings)
-        limits = settings.params.state.least
+        super().__init__(context)
+        limits = context.settings.params.state.least
         self.max_operations = limits.txn_ops
         self.value_bytes = int(limits.value_kb * 1024)
 
--- a/tealhook/state_store/read_index.py
+++ b/tealhook/state_store/read_index.py
@@ -10,8 +10,8 @@
 from collections.abc import Callable
 from typing import Any
 
-from tealhook.loop.effects import Cancellable, Effects
-from tealhook.settings import Settings
+from tealhook.context import NodeContext
+from tealhook.loop.effects import Cancellable
 from tealhook.state_store.watcher import Watcher
 
 Fresh = Callable[[bool], Any]  # told whether the view shows all that was written before the question
@@ -22,12 +22,12 @@
 class ReadIndex:
     """Questions about one watched view."""
 
-    def __init__(self, effects: Effects, settings: Settings, watcher: Watcher, timeout_s: float) -> None:
+    def __init__(self, context: NodeContext, watcher: Watcher, timeout_s: float) -> None:
         """`timeout_s`: a call that takes longer leaves its questions without an answer."""
-        self._effects = effects
+        self._effects = context.effects
         self._watcher = watcher
         self._timeout_s = timeout_s
-        params = settings.params
+        params = context.settings.params
         self._gap_s = max(1, params.nodes) / (READS_SHARE * max(1.0, params.state.least.rps))
         self._slow_s = timeout_s / 4  # a call that has taken so long does not hold up the next one
         self._waiting: list[Fresh] = []
--- a/tealhook/state_store/request_queue.py
+++ b/tealhook/state_store/request_queue.py
@@ -7,9 +7,9 @@
 from collections import deque
 from functools import partial
 
+from tealhook.context import NodeContext
 from tealhook.loop import TokenBucket
-from tealhook.loop.effects import Answer, Effects
-from tealhook.settings import Settings
+from tealhook.loop.effects import Answer
 
 log = logging.getLogger("tealhook.store")
 
@@ -60,22 +60,22 @@
 class RequestQueue:
     """Sends requests to the state service within this node's share of its budgets, the most urgent first."""
 
-    def __init__(self, effects: Effects, settings: Settings) -> None:
+    def __init__(self, context: NodeContext) -> None:
         """The budgets come from the settings; at first they are shared evenly by all nodes."""
-        self._effects = effects
-        limits = settings.params.state.least
+        self._effects = context.effects
+        limits = context.settings.params.state.least
         self._rps, self._wps = limits.rps, limits.write_rps
         self._pace = 1.0  # share of the budgets that is used: less while the service says that they are overused
         self._paced_at = -1e9
         self._shares: tuple[int, float | None] = (1, None)
-        now = effects.now()
+        now = context.effects.now()
         self._requests = TokenBucket(1.0, 1.0, now)
         self._writes = TokenBucket(1.0, 1.0, now)
         self._queues: dict[CallPriority, deque[_Call]] = {priority: deque() for priority in CallPriority}
         self._pumping = False
         self.answered_at = -1e9  # when it last served us
         self.failed_at = -1e9
-        self.set_share(max(1, settings.params.nodes), None)
+        self.set_share(max(1, context.settings.params.nodes), None)
 
     def set_share(self, nodes: int, owned_share: float | None) -> None:
         """Set this node's part of the budgets.
--- a/tests/test_bad_input.py
+++ b/tests/test_bad_input.py
@@ -306,7 +306,7 @@
 def desk():
     desk = Desk(41, nodes=1)
     desk.world.run(20.0)
-    assert set(desk.world.nodes["n0"]._types) == {"small", "large"}
+    assert set(desk.world.nodes["n0"].machine_types) == {"small", "large"}
     return desk
 
 
@@ -479,7 +479,7 @@
     desk = Desk(46, nodes=1)
     desk.world.cloud.down = True
     desk.world.run(20.0)
-    assert not desk.world.nodes["n0"]._types
+    assert not desk.world.nodes["n0"].machine_types
     for changes in ({}, {"yard": '"zc"'}, {"rigs": '["none"]'}, {"vcpus": "20"}):
         status, _answer, after, _took = desk.submit("req-1", **changes)
         assert status == 503 and after >= 1
@@ -488,7 +488,7 @@
     desk.world.cloud.down = False
     desk.world.run(30.0)
     assert desk.submit("req-1")[0] == 201
-    desk.world.nodes["n0"]._types.clear()
+    desk.world.nodes["n0"].machine_types.clear()
     _assert_known(desk, "req-1", {"pending", "running"})
 
 
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -74,7 +74,7 @@
         name: mesh.MachineState(name, "small", True, 4.0, left, 0.0, False, False, False)
         for name, left in empty_s.items()
     }
-    fleet._drain(states, spare_cpus, False, world.nodes["n0"]._variables(), now)
+    fleet._drain(states, spare_cpus, False, world.nodes["n0"].context.policy.variables(), now)
     return [name for body in sent if isinstance(body, mesh.DrainRequest) for name in body.machines]
 
 
@@ -99,7 +99,7 @@
     world.state.handle = handle
     world.run(40.0)
     assert len(lost) == 3
-    assert all(node._types for node in world.nodes.values())
+    assert all(node.machine_types for node in world.nodes.values())
 
 
 def _listed_in_pages() -> tuple[World, int]:
@@ -218,7 +218,7 @@
     for keep in (0.0, 8.0, 24.0):
         sent.clear()
         fleet._surplus.clear()
-        fleet._drain(states, 24.0, keep, world.nodes["n0"]._variables(), now)
+        fleet._drain(states, 24.0, keep, world.nodes["n0"].context.policy.variables(), now)
         drained = {name for body in sent if isinstance(body, mesh.DrainRequest) for name in body.machines}
         kept.append(3 - len(drained))
     assert kept == [0, 1, 3]
--- a/tests/test_gap.py
+++ b/tests/test_gap.py
@@ -154,7 +154,7 @@
     assert launches() == 1
     viewed_at, node.job_index.watcher.viewed_at = (
         node.job_index.watcher.viewed_at,
-        node._effects.now() - 1.1 * node.ownership.lease_ttl_s,
+        node.context.effects.now() - 1.1 * node.ownership.lease_ttl_s,
     )
     assert launches() == 0
     node.job_index.watcher.viewed_at = viewed_at
--- a/tests/test_guards.py
+++ b/tests/test_guards.py
@@ -194,8 +194,7 @@
     world.run(40.0)
     real = next(part for part in world.nodes["n0"].partition_manager.partitions.values() if part.machines)
     part = Partition(
-        real._effects,
-        world.settings,
+        world.nodes["n0"].context,
         real.zone,
         real.token + 1,
         real._job_index,
--- a/tests/test_job_records.py
+++ b/tests/test_job_records.py
@@ -13,6 +13,7 @@
 from tealhook.wire import state as state_wire
 from tealhook.wire.common import dumps
 from tealhook.wire.state import KeyValue
+from tests.simulation.context import make_context
 from tests.test_records import LIMIT, _job, _stage
 from tests.users import ALIKE
 from tests.world import World
@@ -54,7 +55,7 @@
 
 def _records() -> tuple[JobRecords, _Store, _Index]:
     store, index = _Store(), _Index()
-    return JobRecords(_Clock(), store, index), store, index
+    return JobRecords(make_context(_Clock()), store, index), store, index
 
 
 def test_an_end_is_conditional_on_the_version_that_was_read():
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -18,6 +18,7 @@
 from tealhook.wire.cloud import MachineTypes
 from tealhook.wire.common import dumps
 from tealhook.wire.users import JobSpec
+from tests.simulation.context import make_context
 from tests.troubles import mixed_run
 from tests.users import PLAIN
 from tests.world import World, calm, settings_text
@@ -327,7 +328,7 @@
 
 def _client(answer) -> tuple[_Fx, StateClient]:
     fx = _Fx(answer)
-    return fx, StateClient(fx, parse_settings("s.toml", settings_text(0, 1)))
+    return fx, StateClient(make_context(fx, parse_settings("s.toml", settings_text(0, 1))))
 
 
 def _load(fx: _Fx, store: StateClient, seconds: int) -> int:
--- a/tests/test_machine_types.py
+++ b/tests/test_machine_types.py
@@ -59,7 +59,7 @@
     world.cloud.down = True
     world.state.rows |= records
     world.run(seconds)
-    return sorted(world.nodes["n0"]._types)
+    return sorted(world.nodes["n0"].machine_types)
 
 
 class _History:
--- a/tests/test_mesh.py
+++ b/tests/test_mesh.py
@@ -2,13 +2,14 @@
 
 from tealhook.mesh import Mesh
 from tealhook.wire import mesh as wire
+from tests.simulation.context import make_context
 
 
 def test_gossip_of_a_process_between_does_not_shut_out_the_present_one():
     """Guards against a fleet that never heard a restarted peer again: gossip of a process that had lived and died
     behind a cut came late, was taken for the newest, and the present process for an old one."""
     heard = []
-    mesh = Mesh(type("Fx", (), {"now": staticmethod(lambda: 0.0)})(), "n0", ["n1"], 7)
+    mesh = Mesh(make_context(type("Clock", (), {"now": staticmethod(lambda: 0.0)})()))
     mesh.handler = lambda sender, body, reply: heard.append(body.state_age_s)
 
     def gossip(boot: int, number: int) -> None:
--- a/tests/test_rounds.py
+++ b/tests/test_rounds.py
@@ -75,15 +75,17 @@
                 }
             ).encode()
         )
-        node.job_index.active[job] = JobEntry(spec, "team-0", 1, node._effects.wall() - 20.0)
+        node.job_index.active[job] = JobEntry(spec, "team-0", 1, node.context.effects.wall() - 20.0)
         held = MachineTask(
-            f"{job}/0", job, 0, 1, "running", None, world.now - ran_s, running_since=node._effects.now() - ran_s
+            f"{job}/0", job, 0, 1, "running", None, world.now - ran_s, running_since=node.context.effects.now() - ran_s
         )
         machine.tasks[(held.task, 1)] = held
-    room = CapacityManager(node._effects, node.settings, 1, node.job_index, node._types, {}, {"host-0": machine})
+    room = CapacityManager(node.context, 1, node.job_index, node.machine_types, {}, {"host-0": machine})
     shape = mesh.TaskRequirements(4.0, 0.0, 4.0, "", 0.0, True, (), 2, 20.0)
     want = mesh.ReservationRequest("req-000003", "team-1", shape, 1, False, False, [], 1, preempt, False)
-    _lost, victims = room._preemption.victims(machine, want, (4.0, 0.0, 4.0), [0.0, 0.0, 0.0], node._effects.now())
+    _lost, victims = room._preemption.victims(
+        machine, want, (4.0, 0.0, 4.0), [0.0, 0.0, 0.0], node.context.effects.now()
+    )
     return [held.job for held in victims]
 
 
@@ -110,7 +112,8 @@
         jobs.append(world.submit(crew="team-0", urgency="standard", plays=plays, vcpus=8.0, expected_s=500.0, **ALIKE))
         world.run(1.0)
     found = {
-        item.job.id: item.within_guarantee for item in node.team_scheduler.cycle.selection.select(node._effects.now())
+        item.job.id: item.within_guarantee
+        for item in node.team_scheduler.cycle.selection.select(node.context.effects.now())
     }
     return [found[job] for job in jobs]
 
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -59,9 +59,9 @@
     machines = {}
     for i in range(300):
         report = workers.Heartbeat(f"host-{i}", "10.1.0.1:9000", "small", "za", 1, 1, 1, True)
-        machines[report.machine] = machine = Machine(report, node._effects.now())
+        machines[report.machine] = machine = Machine(report, node.context.effects.now())
         machine.reconciled = True
-    room = CapacityManager(node._effects, node.settings, 1, node.job_index, node._types, {}, machines)
+    room = CapacityManager(node.context, 1, node.job_index, node.machine_types, {}, machines)
     worked = []
     whole = CapacityManager._fit_on
     monkeypatch.setattr(CapacityManager, "_fit_on", lambda self, m, need: worked.append(m.name) or whole(self, m, need))
--- a/tests/test_thousands.py
+++ b/tests/test_thousands.py
@@ -197,7 +197,7 @@
 
 def test_at_a_takeover_workers_are_called_as_connections_allow_and_none_is_left_out():
     fleet = _Fleet(96)
-    world, effects = fleet.world, fleet.node._effects
+    world, effects = fleet.world, fleet.node.context.effects
     under_way: list[str] = []
     most: list[int] = []
     called: set[str] = set()
@@ -210,7 +210,7 @@
             world.at(0.01, lambda: (under_way.remove(addr), answer(None, b"")))
 
     effects.worker = worker
-    calls = Calls(effects, fleet.node.settings, 7, {})
+    calls = Calls(fleet.node.context, 7, {})
     world.run(10.0)
     addrs = {f"host-{i}": f"10.1.{i // 250}.{i % 250}:9000" for i in range(MACHINES)}
     calls.announce_token(addrs)
--- a/tests/test_user.py
+++ b/tests/test_user.py
@@ -126,7 +126,7 @@
     assert submit(plays=0)[0] == submit(urgency="soon")[0] == 400
     assert submit(crew="nobody")[0] == submit(vcpus=25.0)[0] == submit(vcpus=20.0, crew="team-1")[0] == 422
     assert submit()[0] == 201
-    node._types.pop("large")  # the cloud offers it no more
+    node.machine_types.pop("large")  # the cloud offers it no more
     assert submit(name_id="req-other")[0] == 422
     assert submit()[0] == 200
     world.state.outage(True)
