--- a/tealhook/fleet/cloud_calls.py
+++ b/tealhook/fleet/cloud_calls.py
@@ -10,16 +10,16 @@
 
 from tealhook.context import NodeContext
 from tealhook.coordination import Ownership, partition_key
-from tealhook.fleet.boots import BootTimes
-from tealhook.fleet.machine_types import TypesStore
+from tealhook.fleet.machine_types import MachineTypeStore
 from tealhook.fleet.machines import RentedMachine
+from tealhook.fleet.provisioning import ProvisioningTimes
 from tealhook.loop import TokenBucket
 from tealhook.mesh import Mesh
 from tealhook.state_store import StateClient
 from tealhook.wire import cloud as wire
 from tealhook.wire.workers import FAILOVER_S
 
-log = logging.getLogger("tealhook.fleet")
+log = logging.getLogger(__name__)
 
 CALL_TIMEOUT_S = 5.0
 USED_SHARE = 0.9
@@ -40,20 +40,20 @@
         ownership: Ownership,
         store: StateClient,
         mesh: Mesh,
-        types: dict[str, wire.MachineType],
-        on_gone: Callable[[list[str]], Any],
+        machine_types: dict[str, wire.MachineType],
+        on_released: Callable[[list[str]], Any],
     ) -> None:
-        """`types` is filled in place; `variables` gives the policy's figures; `on_gone` hears of proven releases."""
+        """`machine_types` is filled in place; `on_released` is told of machines that are proven to be released."""
         self._effects = context.effects
         self._settings = context.settings
         self._policy = context.policy
         self._ownership = ownership
         self._store = store
         self._mesh = mesh
-        self._types = types
-        self._types_store = TypesStore(store)
-        self._on_gone = on_gone
-        self._lag = context.settings.params.cloud.list_lag_s
+        self._machine_types = machine_types
+        self._machine_type_store = MachineTypeStore(store)
+        self._on_released = on_released
+        self._list_lag_s = context.settings.params.cloud.list_lag_s
         rate = context.settings.params.cloud.rps * USED_SHARE
         self._bucket = TokenBucket(rate, 2 * rate, context.effects.now())
         self._token: int | None = None
@@ -62,79 +62,83 @@
     def _reset(self) -> None:
         """Forget what is known: ownership came or went."""
         self._machines: dict[str, RentedMachine] = {}
-        self._boots = BootTimes()
-        self._dead: dict[str, float] = {}  # released, or known to be gone: lists may still show them
+        self._provisioning = ProvisioningTimes()
+        self._released_at: dict[
+            str, float
+        ] = {}  # machine -> when it was released, or known to be; lists may still show it
         self._fences: dict[str, float] = {}  # machines to be released, and since when
-        self._fences_from = -1e9  # until then nothing is released
-        self._mute_since: float | None = None  # since when the cloud has not answered
-        self._began = self._effects.now()
-        self._calling = 0
-        self._types_at = -1e9
+        self._no_release_before = -1e9  # until then nothing is released
+        self._cloud_silent_since: float | None = None  # since when the cloud has not answered
+        self._owned_since = self._effects.now()
+        self._calls_in_flight = 0
+        self._types_read_at = -1e9
         self._stored_types: set[tuple] | None = None  # as written by us under this ownership
         self._storing_types = False
 
-    def _note_up(self, machine: RentedMachine, now: float) -> None:
+    def _on_provisioned(self, machine: RentedMachine, now: float) -> None:
         """A machine that was starting is up: by its reports, or by the list, whichever shows it first."""
         machine.status, machine.up_at = wire.MachineStatus.RUNNING, now
-        if machine.machine_type in self._types:
-            self._boots.came_up(self._types[machine.machine_type], machine.zone, now - machine.requested_at, now)
+        if machine.machine_type in self._machine_types:
+            self._provisioning.record_provisioned(
+                self._machine_types[machine.machine_type], machine.zone, now - machine.requested_at, now
+            )
 
     def _call(self, method: str, target: str, body: bytes | None, answer: CloudAnswer) -> None:
         """Send one request to the cloud; its answer is dropped when the ownership has changed meanwhile."""
-        self._calling += 1
+        self._calls_in_flight += 1
         token, asked = self._token, self._effects.now()
 
         def answered(status: int | None, data: bytes) -> None:
             if status == 429:
                 self._bucket.drain(self._effects.now())
             if status is None:
-                self._mute_since = asked if self._mute_since is None else self._mute_since
-            elif self._mute_since is not None:
-                self._cloud_is_back()
+                self._cloud_silent_since = asked if self._cloud_silent_since is None else self._cloud_silent_since
+            elif self._cloud_silent_since is not None:
+                self._on_cloud_recovered()
             if self._token == token:
                 answer(status, data)
 
         self._effects.cloud(method, target, body, CALL_TIMEOUT_S, answered)
 
-    def _cloud_is_back(self) -> None:
+    def _on_cloud_recovered(self) -> None:
         """The cloud answers after it had not: what was silent meanwhile may have been behind the same cut as we.
 
         Releases sent into a cut that holds packets were executed when it healed: they took 250 machines that were about
-        to come back. So none is sent while the cloud is mute, and then workers have time to be heard of again.
+        to come back. So none is sent while the cloud does not answer, and then workers have time to be heard of again.
         """
         workers, now = self._settings.params.workers, self._effects.now()
-        if self._mute_since is not None and now - self._mute_since > workers.lease_s / 2:
+        if self._cloud_silent_since is not None and now - self._cloud_silent_since > workers.lease_s / 2:
             self._fences.clear()  # whoever wants one still will say so again
-            self._fences_from = now + 2 * workers.report_s + FAILOVER_S
-        self._mute_since = None
+            self._no_release_before = now + 2 * workers.report_s + FAILOVER_S
+        self._cloud_silent_since = None
 
     # -- machine types: read by every node, asked for by the owner
 
-    def _read_types(self) -> None:
+    def _read_stored_types(self) -> None:
         """Read the types from the state service until they are known."""
 
         def done(machine_types: list[wire.MachineType] | None) -> None:
-            if not self._types and machine_types is not None:
-                self._take_types(machine_types)
-            if not self._types:
-                self._effects.later(0.3, self._read_types)
+            if not self._machine_types and machine_types is not None:
+                self._set_types(machine_types)
+            if not self._machine_types:
+                self._effects.later(0.3, self._read_stored_types)
 
-        if not self._types:
-            self._types_store.read(done)
+        if not self._machine_types:
+            self._machine_type_store.read(done)
 
-    def _take_types(self, machine_types: list[wire.MachineType]) -> None:
+    def _set_types(self, machine_types: list[wire.MachineType]) -> None:
         """Replace the types on offer, and take note of their zones."""
-        self._types.clear()
+        self._machine_types.clear()
         for machine_type in machine_types:
-            self._types[machine_type.name] = machine_type
+            self._machine_types[machine_type.name] = machine_type
             for zone in machine_type.zones:
                 self._ownership.add_key(partition_key(zone))
 
-    def _ask_types(self) -> None:
+    def _fetch_types(self) -> None:
         """Ask the cloud for the types on offer, and store them when they have changed."""
 
         def answer(status: int | None, body: bytes) -> None:
-            self._calling -= 1
+            self._calls_in_flight -= 1
             if status != 200:
                 return
             try:
@@ -142,8 +146,8 @@
             except msgspec.DecodeError as exc:
                 log.error("cloud: bad machine types: %s", exc)
                 return
-            self._types_at = self._effects.now()
-            self._take_types(found.machine_types)
+            self._types_read_at = self._effects.now()
+            self._set_types(found.machine_types)
             kinds = {
                 (machine_type.name, machine_type.vcpus, machine_type.memory_gb, tuple(machine_type.zones))
                 for machine_type in found.machine_types
@@ -156,7 +160,7 @@
     def _store_types(self, machine_types: list[wire.MachineType], kinds: set[tuple]) -> None:
         """Tell the other nodes of the machine types; again and again until that is certain.
 
-        One lost write once left nodes without them for good: their machines had no room, and no job began.
+        One lost write once left nodes without them for good: their machines had no capacity, and no job began.
         """
         token = self._token
         if token is None:
@@ -170,6 +174,6 @@
             if certain:
                 self._stored_types = kinds
             else:
-                self._types_at = self._effects.now() - TYPES_LAGS * self._lag + TYPES_AGAIN_S
+                self._types_read_at = self._effects.now() - TYPES_LAGS * self._list_lag_s + TYPES_AGAIN_S
 
-        self._types_store.replace(token, machine_types, done)
+        self._machine_type_store.replace(token, machine_types, done)
--- a/tealhook/fleet/demand.py
+++ b/tealhook/fleet/demand.py
@@ -17,20 +17,20 @@
 
 
 @dataclass
-class OrdinaryDemand:
+class NonSpotDemand:
     """Tasks that may not use spot machines: of jobs soon to be released, and those that have a machine."""
 
     blocked: list[Demand] = field(default_factory=list)
     placed: list[Demand] = field(default_factory=list)
 
 
-def slots_per_machine(machine_type: MachineType, shape: TaskRequirements) -> int:
+def slots_per_machine(machine_type: MachineType, requirements: TaskRequirements) -> int:
     """Tasks of a shape that fit an empty machine of a type."""
     count = math.inf
     pairs = (
-        (machine_type.vcpus, shape.vcpus),
-        (machine_type.gpus, shape.gpus),
-        (machine_type.memory_gb, shape.memory_gb),
+        (machine_type.vcpus, requirements.vcpus),
+        (machine_type.gpus, requirements.gpus),
+        (machine_type.memory_gb, requirements.memory_gb),
     )
     for have, need in pairs:
         if need > 0:
@@ -38,10 +38,10 @@
     return 0 if count is math.inf else int(count)
 
 
-def machine_cpus(types: dict[str, MachineType], demand: Demand) -> float:
+def machine_cpus(machine_types: dict[str, MachineType], demand: Demand) -> float:
     """CPUs of whole machines that a demand fills, on the type that suits it best."""
     best = math.inf
-    for machine_type in types.values():
+    for machine_type in machine_types.values():
         if demand.requirements.machine_types and machine_type.name not in demand.requirements.machine_types:
             continue
         count = slots_per_machine(machine_type, demand.requirements)
@@ -70,9 +70,9 @@
         return slack * max(self._boot_s, self._within.get(job_class, 12 * self._boot_s) / 3)
 
 
-def backlog_cpus(types: dict[str, MachineType], demand: Demand, horizon: Horizon, late: bool = False) -> float:
+def backlog_cpus(machine_types: dict[str, MachineType], demand: Demand, horizon: Horizon, late: bool = False) -> float:
     """CPUs that work off a class's waiting tasks in time."""
-    whole = machine_cpus(types, demand)
+    whole = machine_cpus(machine_types, demand)
     if demand.count <= 0:
         return 0.0
     urgent = demand.requirements.priority > STANDARD_RANK
@@ -92,8 +92,8 @@
         self._peaks: deque[tuple[float, float]] = deque()
         self._waits: deque[tuple[float, float]] = deque()
 
-    def note(self, now: float, used: float, urgent: float, waiting: float, patience: float) -> None:
-        """Take in the CPUs that are taken, those of urgent work, and those waited for, kept for `patience` seconds."""
+    def record(self, now: float, used: float, urgent: float, waiting: float, window_s: float) -> None:
+        """Take in the CPUs that are taken, those of urgent work, and those waited for, kept for `window_s` seconds."""
         if self._at is not None:
             weight = 1.0 - math.exp(-max(0.0, now - self._at) / self._span)
             self.mean += weight * (used - self.mean)
@@ -103,7 +103,7 @@
         while self._peaks[0][0] < now - self._span:
             self._peaks.popleft()
         self._waits.append((now, waiting))
-        while self._waits[0][0] < now - patience:
+        while self._waits[0][0] < now - window_s:
             self._waits.popleft()
 
     @property
@@ -112,6 +112,6 @@
         return max((used for _, used in self._peaks), default=0.0)
 
     @property
-    def lasting(self) -> float:
+    def lasting_wait(self) -> float:
         """What has been waiting for a while, not just passing through."""
         return min((waiting for _, waiting in self._waits), default=0.0)
--- a/tealhook/fleet/draining.py
+++ b/tealhook/fleet/draining.py
@@ -1,4 +1,4 @@
-"""Draining: which machines are returned, and telling the owners of their parts."""
+"""Draining: which machines are returned, and telling the owners of their partitions."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from typing import NamedTuple
 
 from tealhook.coordination import partition_key
-from tealhook.fleet.machines import RentedMachine, cpu_price
+from tealhook.fleet.machines import RentedMachine, hourly_cpu_price
 from tealhook.fleet.releasing import Releasing
 from tealhook.fleet.renting import DEAR
 from tealhook.wire import cloud as wire
@@ -30,9 +30,9 @@
     """A machine that may be returned.
 
     `order`: the machines to be returned are chosen in this order. The much dearer ones first, and the sooner the
-    dearer; else those that will be empty first, since until then the room on them is paid for in vain. One that still
-    has tasks gets no more of them: otherwise what is left to do would stay spread thinly over all machines, and none of
-    them would ever be idle.
+    dearer; else those that will be empty first, since until then the capacity on them is paid for in vain. One that
+    still has tasks gets no more of them: otherwise what is left to do would stay spread thinly over all machines, and
+    none of them would ever be idle.
     """
 
     machine: RentedMachine
@@ -42,12 +42,12 @@
 
 
 class Draining(Releasing):
-    """Returns what idles beyond the ready room, and machines that fail their tasks."""
+    """Returns what idles beyond the ready capacity, and machines that fail their tasks."""
 
     def _reset(self) -> None:
         super()._reset()
-        self._drains: dict[str, set[str]] = {}  # told last, by zone
-        self._surplus: deque[SurplusSample] = deque()
+        self._drain_requests: dict[str, set[str]] = {}  # sent last, by zone
+        self._surplus_samples: deque[SurplusSample] = deque()
 
     def _drain(
         self,
@@ -57,30 +57,34 @@
         variables: dict[str, float],
         now: float,
     ) -> None:
-        """Return what idles beyond the ready room, much dearer ones first; and machines that fail their tasks.
+        """Return what idles beyond the ready capacity, much dearer ones first; and machines that fail their tasks.
 
         `keep_ordinary`: CPUs of ordinary machines that stay whatever idles.
         """
         idle_return_s = self._policy.value("idle_return_s", variables)
-        self._surplus.append(SurplusSample(now, surplus))
-        while self._surplus[0].at < now - idle_return_s:
-            self._surplus.popleft()
-        prices = [cpu_price(machine_type, spot) for machine_type in self._types.values() for spot in (True, False)]
+        self._surplus_samples.append(SurplusSample(now, surplus))
+        while self._surplus_samples[0].at < now - idle_return_s:
+            self._surplus_samples.popleft()
+        prices = [
+            hourly_cpu_price(machine_type, spot)
+            for machine_type in self._machine_types.values()
+            for spot in (True, False)
+        ]
         cheapest = min((price for price in prices if price > 0), default=0.0)
         wanted: dict[str, set[str]] = {}
         spare: list[SpareMachine] = []
         for machine in self._machines.values():
             state = states.get(machine.name)
-            # One that is fenced must not be used before it is gone.
+            # One that is fenced must not be used before it is released.
             if machine.name in self._fences or (
-                state is not None and state.unhealthy and machine.machine_type in self._types
+                state is not None and state.unhealthy and machine.machine_type in self._machine_types
             ):
                 wanted.setdefault(machine.zone, set()).add(machine.name)
             elif state is not None and (found := self._as_spare(machine, state, cheapest, now)) is not None:
                 spare.append(found)
-        for machine in self._choose(spare, keep_ordinary, idle_return_s, cheapest, now):
+        for machine in self._choose_spare(spare, keep_ordinary, idle_return_s, cheapest, now):
             wanted.setdefault(machine.zone, set()).add(machine.name)
-        self._tell(wanted)
+        self._send_drain_requests(wanted)
         for names in wanted.values():
             for name in sorted(names - self._fences.keys()):
                 state = states.get(name)
@@ -93,14 +97,14 @@
         self, machine: RentedMachine, state: mesh_wire.MachineState, cheapest: float, now: float
     ) -> SpareMachine | None:
         """The machine as one that may be returned; None when it may not."""
-        machine_type = self._types.get(machine.machine_type)
+        machine_type = self._machine_types.get(machine.machine_type)
         if machine_type is None or state.terminating or now - machine.requested_at < LEAST_PAID_S:
             return None
-        price = cpu_price(machine_type, machine.spot)
+        price = hourly_cpu_price(machine_type, machine.spot)
         dear = int(math.log(max(1.0, price / cheapest), DEAR)) if cheapest else 0
         return SpareMachine(machine, machine_type, price, order=(-dear, state.empty_s, -price, machine.name))
 
-    def _choose(
+    def _choose_spare(
         self, spare: list[SpareMachine], keep_ordinary: float, idle_return_s: float, cheapest: float, now: float
     ) -> list[RentedMachine]:
         """The machines that the surplus of late allows to return."""
@@ -109,10 +113,10 @@
         left = sum(item.machine_type.vcpus for item in spare if not item.machine.spot)
         lasted: dict[float, float] = {}  # by price: a fleet has hundreds of machines, but few prices
         for item in sorted(spare, key=attrgetter("order")):
-            patience = idle_return_s * (cheapest / item.price if item.price > 0 else 1.0)
+            idle_s = idle_return_s * (cheapest / item.price if item.price > 0 else 1.0)
             if item.price not in lasted:
-                lasted[item.price] = min(cpus for at, cpus in self._surplus if at >= now - patience)
-            if lasted[item.price] - taken < item.machine_type.vcpus or now - self._began < patience:
+                lasted[item.price] = min(cpus for at, cpus in self._surplus_samples if at >= now - idle_s)
+            if lasted[item.price] - taken < item.machine_type.vcpus or now - self._owned_since < idle_s:
                 continue
             if not item.machine.spot:
                 if left - item.machine_type.vcpus < keep_ordinary:
@@ -122,11 +126,11 @@
             chosen.append(item.machine)
         return chosen
 
-    def _tell(self, wanted: dict[str, set[str]]) -> None:
-        """Tell the owners of parts which machines are to be drained, and those that had some that none is."""
-        for zone in sorted(wanted.keys() | self._drains.keys()):
+    def _send_drain_requests(self, wanted: dict[str, set[str]]) -> None:
+        """Tell the owners of partitions which machines to drain, and those that drained some that none is to be."""
+        for zone in sorted(wanted.keys() | self._drain_requests.keys()):
             owner = self._ownership.owner(partition_key(zone))
             names = wanted.get(zone, set())
-            if owner is not None and (names or self._drains.get(zone)):
+            if owner is not None and (names or self._drain_requests.get(zone)):
                 self._mesh.send(owner, mesh_wire.DrainRequest(zone, sorted(names)))
-        self._drains = wanted
+        self._drain_requests = wanted
--- a/tealhook/fleet/listing.py
+++ b/tealhook/fleet/listing.py
@@ -11,7 +11,7 @@
 from tealhook.fleet.machines import RentedMachine
 from tealhook.wire import cloud as wire
 
-log = logging.getLogger("tealhook.fleet")
+log = logging.getLogger(__name__)
 
 LIST_SHARE = 0.4  # of the calls at most: lists
 
@@ -21,10 +21,10 @@
 
     def _reset(self) -> None:
         super()._reset()
-        self._listing = False
+        self._is_listing = False
         self._listed_at = -1e9
-        self._pages = 1  # of the last list
-        self._list_ok = False
+        self._page_count = 1  # of the last list
+        self._has_listed = False
 
     def addresses(self) -> dict[str, dict[str, str]]:
         """Where the workers of machines that are up can be reached, by zone."""
@@ -35,55 +35,55 @@
                     found.setdefault(machine.zone, {})[machine.name] = machine.address
         return found
 
-    def _list_in_time(self, now: float) -> None:
+    def _list_when_due(self, now: float) -> None:
         """Begin a list when the last one is old enough."""
         # Lists of many pages must leave most of the calls to rentals and returns.
-        every_s = max(self._lag / 3, self._pages / (LIST_SHARE * self._bucket.rate))
-        if not self._listing and now - self._listed_at > every_s and self._bucket.take(1, now):
+        every_s = max(self._list_lag_s / 3, self._page_count / (LIST_SHARE * self._bucket.rate))
+        if not self._is_listing and now - self._listed_at > every_s and self._bucket.take(1, now):
             self._listed_at = now
-            self._list("", [])
+            self._list_page("", [])
 
-    def _list(self, after: str, found: list[wire.ListedMachine]) -> None:
+    def _list_page(self, after: str, found: list[wire.ListedMachine]) -> None:
         """Ask for the page after a machine; `found`: what the pages before it held."""
-        self._listing = True
+        self._is_listing = True
 
         def answer(status: int | None, body: bytes) -> None:
-            self._calling -= 1
-            self._listing = False
+            self._calls_in_flight -= 1
+            self._is_listing = False
             if status != 200:
                 return
             try:
-                part = wire.machine_list_decoder.decode(body)
+                page = wire.machine_list_decoder.decode(body)
             except msgspec.DecodeError as exc:
                 log.error("cloud: bad list: %s", exc)
                 return
-            found.extend(part.machines)
-            if part.more and part.machines:
-                self._list_on(part.machines[-1].name, found)
+            found.extend(page.machines)
+            if page.more and page.machines:
+                self._list_next_page(page.machines[-1].name, found)
             else:
-                self._take_list(found)
+                self._on_list(found)
 
         self._call("GET", f"/rentals?after={after}&page={wire.LIST_PAGE}", None, answer)
 
-    def _list_on(self, after: str, found: list[wire.ListedMachine]) -> None:
+    def _list_next_page(self, after: str, found: list[wire.ListedMachine]) -> None:
         """The next page, once the cloud may be called: one refused page would cost the whole list."""
         now, token = self._effects.now(), self._token
-        self._listing = True
-        self._pages = 1 + len(found) // wire.LIST_PAGE
+        self._is_listing = True
+        self._page_count = 1 + len(found) // wire.LIST_PAGE
         if self._bucket.take(1, now):
-            self._list(after, found)
+            self._list_page(after, found)
         else:
             pause = max(0.01, self._bucket.wait(1, now))
-            self._effects.later(pause, lambda: self._list_on(after, found) if self._token == token else None)
+            self._effects.later(pause, lambda: self._list_next_page(after, found) if self._token == token else None)
 
-    def _take_list(self, listed: list[wire.ListedMachine]) -> None:
+    def _on_list(self, listed: list[wire.ListedMachine]) -> None:
         """Compare a whole list with the machines that are known."""
         now = self._effects.now()
-        self._list_ok = True
+        self._has_listed = True
         names = set()
         for item in listed:
             names.add(item.name)
-            if item.name in self._dead:
+            if item.name in self._released_at:
                 continue
             self._ownership.add_key(partition_key(item.zone))
             machine = self._machines.get(item.name)
@@ -98,7 +98,7 @@
                 # It has stopped of its own accord; releasing it takes it off the list, and is the proof.
                 self._fences.setdefault(machine.name, now)
             elif item.status == wire.MachineStatus.RUNNING and machine.status == wire.MachineStatus.STARTING:
-                self._note_up(machine, now)
+                self._on_provisioned(machine, now)
         for name, machine in self._machines.items():
             # Taken back, or the list is an older one: alone this proves nothing.
             if machine.listed and name not in names and machine.missing_since is None:
--- a/tealhook/fleet/machines.py
+++ b/tealhook/fleet/machines.py
@@ -8,7 +8,7 @@
 from tealhook.wire.cloud import MachineStatus, MachineType
 
 
-class Option(NamedTuple):
+class RentalOption(NamedTuple):
     """One kind of machine that can be rented: a type in a zone, spot or ordinary."""
 
     machine_type: str
@@ -28,11 +28,11 @@
     status: str = MachineStatus.STARTING
     up_at: float = 0.0
     address: str = ""
-    reported_at: float = 0.0  # when its part's owner last told of it, or could not
+    reported_at: float = 0.0  # when its partition's owner last reported it, or could not
     listed: bool = False
     missing_since: float | None = None  # listed before, not in any list since then
 
 
-def cpu_price(machine_type: MachineType, spot: bool) -> float:
+def hourly_cpu_price(machine_type: MachineType, spot: bool) -> float:
     """What a CPU of a type costs by the hour."""
     return (machine_type.spot_price if spot else machine_type.hourly_price) / max(machine_type.vcpus, 1e-6)
--- a/tealhook/fleet/boots.py
+++ b/tealhook/fleet/provisioning.py
@@ -14,7 +14,7 @@
 LONGEST = 8.0  # times the usual time: the most that is believed
 
 
-class Site(NamedTuple):
+class ProvisioningSite(NamedTuple):
     """Where machines boot alike: a type in a zone."""
 
     machine_type: str
@@ -31,41 +31,41 @@
         self.at = at
 
 
-class BootTimes:
+class ProvisioningTimes:
     """Ratios of actual to usual boot times. Demand goes where machines come up, and back once they do again."""
 
     def __init__(self) -> None:
         """Nothing is known yet: machines are taken to come up in the usual time."""
-        self._learned: dict[Site, _Learned] = {}
-        self._overdue: dict[Site, float] = {}
+        self._learned: dict[ProvisioningSite, _Learned] = {}
+        self._overdue_ratios: dict[ProvisioningSite, float] = {}
 
-    def came_up(self, machine_type: MachineType, zone: str, took_s: float, now: float) -> None:
+    def record_provisioned(self, machine_type: MachineType, zone: str, took_s: float, now: float) -> None:
         """A machine came up after so many seconds."""
         self._learn(machine_type, zone, took_s / max(machine_type.boot_s, 1.0), now)
 
-    def never_came_up(self, machine_type: MachineType, zone: str, now: float) -> None:
+    def record_failure(self, machine_type: MachineType, zone: str, now: float) -> None:
         """A machine was given up on."""
         self._learn(machine_type, zone, FAILED, now)
 
     def _learn(self, machine_type: MachineType, zone: str, ratio: float, now: float) -> None:
-        site = Site(machine_type.name, zone)
+        site = ProvisioningSite(machine_type.name, zone)
         known = self._learned.setdefault(site, _Learned(now))
         before = self._ratio(site, machine_type, now)
         known.ratio = before + WEIGHT * (min(ratio, LONGEST) - before)
         known.at = now
 
-    def begin_look(self) -> None:
+    def begin_scan(self) -> None:
         """The machines that are starting are looked at anew."""
-        self._overdue.clear()
+        self._overdue_ratios.clear()
 
-    def still_starting(self, machine_type: MachineType, zone: str, age_s: float) -> None:
+    def record_still_starting(self, machine_type: MachineType, zone: str, age_s: float) -> None:
         """A machine has been starting for so long: one that is overdue tells of the others there before it is up."""
         ratio = age_s / max(machine_type.boot_s, 1.0)
         if ratio > OVERDUE:
-            site = Site(machine_type.name, zone)
-            self._overdue[site] = max(self._overdue.get(site, 0.0), min(ratio, LONGEST))
+            site = ProvisioningSite(machine_type.name, zone)
+            self._overdue_ratios[site] = max(self._overdue_ratios.get(site, 0.0), min(ratio, LONGEST))
 
-    def _ratio(self, site: Site, machine_type: MachineType, now: float) -> float:
+    def _ratio(self, site: ProvisioningSite, machine_type: MachineType, now: float) -> float:
         known = self._learned.get(site)
         if known is None:
             return 1.0
@@ -74,5 +74,5 @@
 
     def expected_s(self, machine_type: MachineType, zone: str, now: float) -> float:
         """Seconds that a machine rented now should take to come up."""
-        site = Site(machine_type.name, zone)
-        return machine_type.boot_s * max(self._ratio(site, machine_type, now), self._overdue.get(site, 0.0))
+        site = ProvisioningSite(machine_type.name, zone)
+        return machine_type.boot_s * max(self._ratio(site, machine_type, now), self._overdue_ratios.get(site, 0.0))
--- a/tealhook/fleet/releasing.py
+++ b/tealhook/fleet/releasing.py
@@ -1,4 +1,4 @@
-"""Releases: of machines that are drained, and as fences of machines that must be known to be gone."""
+"""Releases: of drained machines, and to fence machines whose tasks must be known to be off."""
 
 from __future__ import annotations
 
@@ -10,9 +10,9 @@
 from tealhook.wire import mesh as mesh_wire
 from tealhook.wire.common import dumps
 
-log = logging.getLogger("tealhook.fleet")
+log = logging.getLogger(__name__)
 
-DEAD_BOOT = 4.0  # of ready_s: from then on it is released
+DEAD_BOOT = 4.0  # times the usual boot time: from then on it is released
 
 
 class Releasing(MachineListing):
@@ -23,12 +23,12 @@
         self._releasing: set[str] = set()
 
     def fence(self, machines: list[str]) -> None:
-        """A home needs to know that these are gone."""
+        """A team's owner needs to know that the tasks on these machines are off."""
         if self._token is None:
             return
         for name in machines:
-            if name in self._dead:
-                self._on_gone([name])
+            if name in self._released_at:
+                self._on_released([name])
             else:
                 self._fences.setdefault(name, self._effects.now())
         self._release(self._effects.now())
@@ -36,16 +36,21 @@
     def _release(self, now: float) -> None:
         """Release the machines to be fenced, as many as one request holds, if the cloud may be called now."""
         names = [name for name in self._fences if name not in self._releasing][: wire.MAX_RELEASED_AT_ONCE]
-        # Fences come one by one from all homes, hundreds when a zone is silent: they must not starve the list.
-        keep = 1.0 if self._listing or now - self._listed_at > self._lag * self._pages else 0.0
-        if not names or self._ownership.lease_uncertain or self._mute_since is not None or now < self._fences_from:
+        # Requests to fence come one by one from all teams, hundreds when a zone is silent: the list must not starve.
+        keep = 1.0 if self._is_listing or now - self._listed_at > self._list_lag_s * self._page_count else 0.0
+        if (
+            not names
+            or self._ownership.lease_uncertain
+            or self._cloud_silent_since is not None
+            or now < self._no_release_before
+        ):
             return
         if not self._bucket.take(1, now, keep):
             return
         self._releasing.update(names)
 
         def answer(status: int | None, _body: bytes) -> None:
-            self._calling -= 1
+            self._calls_in_flight -= 1
             self._releasing.difference_update(names)
             if status != 200:
                 return
@@ -53,8 +58,8 @@
             for name in names:
                 self._fences.pop(name, None)
                 self._machines.pop(name, None)
-                self._dead[name] = self._effects.now()
-            self._on_gone(names)
+                self._released_at[name] = self._effects.now()
+            self._on_released(names)
 
         self._call("POST", "/rentals/release", dumps({"boxes": names}), answer)
 
@@ -68,7 +73,7 @@
                 machine.reported_at = now
             if state is not None:
                 if machine.status == wire.MachineStatus.STARTING:
-                    self._note_up(machine, now)
+                    self._on_provisioned(machine, now)
                 lost = self._is_silent(machine, state, fence_s)
             else:
                 lost = self._is_missing(machine, now)
@@ -76,7 +81,7 @@
                 self._fences.setdefault(machine.name, now)
 
     def _is_silent(self, machine: RentedMachine, state: mesh_wire.MachineState, fence_s: float) -> bool:
-        """Whether a machine that its part's owner tells of is to be released.
+        """Whether a machine that its partition's owner reports is to be released.
 
         Silent and no longer listed, or after a notice: very likely taken back; the release makes it certain. One with
         a notice that holds nothing any more is paid for in vain.
@@ -90,24 +95,27 @@
         return state.silent_s > silence_s or (state.terminating and state.drained)
 
     def _is_missing(self, machine: RentedMachine, now: float) -> bool:
-        """Whether a machine that no part's owner tells of is to be released."""
+        """Whether a machine that no partition's owner reports is to be released."""
         lease_s = self._settings.params.workers.lease_s
-        machine_type = self._types.get(machine.machine_type)
-        ready_s = machine_type.boot_s if machine_type else lease_s
+        machine_type = self._machine_types.get(machine.machine_type)
+        boot_s = machine_type.boot_s if machine_type else lease_s
         if (
             machine.status == wire.MachineStatus.STARTING
-            and now - machine.requested_at > DEAD_BOOT * ready_s + self._lag
+            and now - machine.requested_at > DEAD_BOOT * boot_s + self._list_lag_s
         ):
             log.info("%s never came up", machine.name)
             if machine_type is not None and machine.name not in self._fences:
-                self._boots.never_came_up(machine_type, machine.zone, now)
+                self._provisioning.record_failure(machine_type, machine.zone, now)
             return True
-        if machine.missing_since is not None and now - max(machine.missing_since, machine.reported_at) > self._lag:
-            # Taken while its part changed owners, so that the new one never hears of it.
+        if (
+            machine.missing_since is not None
+            and now - max(machine.missing_since, machine.reported_at) > self._list_lag_s
+        ):
+            # Taken while its partition changed owners, so that the new one never hears of it.
             return True
         if (
             machine.status == wire.MachineStatus.RUNNING
-            and now - max(machine.up_at, machine.reported_at, self._began) > 4 * lease_s
+            and now - max(machine.up_at, machine.reported_at, self._owned_since) > 4 * lease_s
         ):
             log.info("%s runs, but its worker does not report", machine.name)
             return True
--- a/tealhook/fleet/renting.py
+++ b/tealhook/fleet/renting.py
@@ -10,13 +10,13 @@
 
 from tealhook.fleet.demand import slots_per_machine
 from tealhook.fleet.listing import MachineListing
-from tealhook.fleet.machines import Option, RentedMachine, cpu_price
+from tealhook.fleet.machines import RentalOption, RentedMachine, hourly_cpu_price
 from tealhook.fleet.sizing import Shortage, Supply
 from tealhook.wire import cloud as wire
 from tealhook.wire import mesh as mesh_wire
 from tealhook.wire.common import dumps
 
-log = logging.getLogger("tealhook.fleet")
+log = logging.getLogger(__name__)
 
 DEAR = 1.5  # times the price of a spot machine: an ordinary one is rented only for what presses
 
@@ -25,7 +25,7 @@
     """What could be rented, and its cost by which offers are sorted."""
 
     cost: float
-    option: Option
+    option: RentalOption
 
 
 @dataclass
@@ -37,14 +37,14 @@
 
 
 def _is_of_use(
-    machine_type: wire.MachineType, option: Option, shape: mesh_wire.TaskRequirements, zone: str | None
+    machine_type: wire.MachineType, option: RentalOption, requirements: mesh_wire.TaskRequirements, zone: str | None
 ) -> bool:
     """Whether a task of a shape that asks for a zone (or None) can run on such a machine."""
     return bool(
-        (shape.allows_spot or not option.spot)
-        and (not shape.machine_types or machine_type.name in shape.machine_types)
+        (requirements.allows_spot or not option.spot)
+        and (not requirements.machine_types or machine_type.name in requirements.machine_types)
         and (zone is None or zone == option.zone)
-        and slots_per_machine(machine_type, shape)
+        and slots_per_machine(machine_type, requirements)
     )
 
 
@@ -55,9 +55,9 @@
         super()._reset()
         self._renting: wire.RentalRequest | None = None
         self._asked = 0
-        self._refused: dict[Option, Refusal] = {}
+        self._refused: dict[RentalOption, Refusal] = {}
 
-    def _rent_rest(self) -> None:
+    def _rent_remaining(self) -> None:
         """A request is answered: ask for what else is missing."""
         raise NotImplementedError
 
@@ -65,24 +65,28 @@
         """What could be rented, cheapest first; what waits decides what is of use."""
         shapes = [(item.requirements, item.zone) for item in demand]
         count: dict[str, int] = {}
-        self._boots.begin_look()
+        self._provisioning.begin_scan()
         for machine in self._machines.values():
             count[machine.zone] = count.get(machine.zone, 0) + 1
-            if machine.status == wire.MachineStatus.STARTING and machine.machine_type in self._types:
-                self._boots.still_starting(self._types[machine.machine_type], machine.zone, now - machine.requested_at)
-        quickest = min(machine_type.boot_s for machine_type in self._types.values()) or 1.0
+            if machine.status == wire.MachineStatus.STARTING and machine.machine_type in self._machine_types:
+                self._provisioning.record_still_starting(
+                    self._machine_types[machine.machine_type], machine.zone, now - machine.requested_at
+                )
+        quickest = min(machine_type.boot_s for machine_type in self._machine_types.values()) or 1.0
         options: list[Offer] = []
-        for machine_type in self._types.values():
+        for machine_type in self._machine_types.values():
             for zone in machine_type.zones:
                 for spot in (True, False):
-                    option = Option(machine_type.name, zone, spot)
+                    option = RentalOption(machine_type.name, zone, spot)
                     if (spot and not spot_ok) or self._is_refused(option, now):
                         continue
-                    if shapes and not any(_is_of_use(machine_type, option, shape, zone) for shape, zone in shapes):
+                    if shapes and not any(
+                        _is_of_use(machine_type, option, requirements, zone) for requirements, zone in shapes
+                    ):
                         continue
                     # A machine is paid for while it boots: over a life of some ten boots that adds up.
-                    boot_s = max(machine_type.boot_s, self._boots.expected_s(machine_type, zone, now))
-                    cost = cpu_price(machine_type, spot) * (1.0 + boot_s / (10 * quickest))
+                    boot_s = max(machine_type.boot_s, self._provisioning.expected_s(machine_type, zone, now))
+                    cost = hourly_cpu_price(machine_type, spot) * (1.0 + boot_s / (10 * quickest))
                     options.append(Offer(cost * (1.0 + 0.001 * count.get(zone, 0)), option))
         options.sort()
         return options
@@ -91,16 +95,16 @@
         """Ask for one kind of machine, if one is to be had and may be asked for; whether one is on its way."""
         if self._renting is not None:
             return True
-        missing = shortage.missing
+        missing = shortage.missing_cpus
         share = self._policy.value("spot_share", variables)
-        spot_ok = supply.spot <= share * (supply.total + missing) and share > 0
+        spot_ok = supply.spot_cpus <= share * (supply.total_cpus + missing) and share > 0
         options = self._options(shortage.demand, spot_ok, now)
         if not options:
             return False
         option = options[0].option
-        machine_type = self._types[option.machine_type]
+        machine_type = self._machine_types[option.machine_type]
         if not option.spot and machine_type.spot_price * DEAR < machine_type.hourly_price:
-            missing = min(missing, shortage.pressing)
+            missing = min(missing, shortage.urgent_cpus)
             if missing <= 0:
                 return False
         if not self._bucket.take(1, now, keep=self._bucket.burst / 4):
@@ -116,11 +120,11 @@
         self._renting = rental
 
         def answer(status: int | None, body: bytes) -> None:
-            self._calling -= 1
+            self._calls_in_flight -= 1
             self._take_answer(rental, status, body)
             # An answer may be the first that a process which stood still comes to, before any timer.
             if self._renting is None and not self._ownership.lease_uncertain:
-                self._rent_rest()  # from elsewhere
+                self._rent_remaining()  # from elsewhere
 
         self._call("POST", "/rentals", dumps(rental), answer)
 
@@ -151,13 +155,13 @@
         spot = ", spot" if rental.spot else ""
         log.info("rented %d of %d %s in %s%s", len(names), rental.count, rental.machine_type, rental.zone, spot)
         for name in names:
-            if name not in self._dead:
+            if name not in self._released_at:
                 machine = RentedMachine(name, rental.machine_type, rental.zone, rental.spot, now)
                 self._machines.setdefault(name, machine)
         if len(names) < rental.count:
             self._refuse(rental, now)
         else:
-            self._refused.pop(Option(rental.machine_type, rental.zone, rental.spot), None)
+            self._refused.pop(RentalOption(rental.machine_type, rental.zone, rental.spot), None)
 
     def _repeat(self, rental: wire.RentalRequest) -> None:
         """Send a rental again as soon as the cloud may be called, unless it has been given up."""
@@ -170,12 +174,12 @@
 
     def _refuse(self, rental: wire.RentalRequest, now: float) -> None:
         """Leave this kind alone for a while: twice as long as the last time, within limits."""
-        option = Option(rental.machine_type, rental.zone, rental.spot)
+        option = RentalOption(rental.machine_type, rental.zone, rental.spot)
         last = self._refused.get(option)
-        pause = min(2 * (last.pause if last is not None else self._lag / 2), 4 * self._lag)
+        pause = min(2 * (last.pause if last is not None else self._list_lag_s / 2), 4 * self._list_lag_s)
         self._refused[option] = Refusal(now + pause * (0.75 + 0.5 * self._effects.rng.random()), pause)
 
-    def _is_refused(self, option: Option, now: float) -> bool:
+    def _is_refused(self, option: RentalOption, now: float) -> bool:
         """Whether the cloud refused this kind so lately that it is not asked for."""
         refusal = self._refused.get(option)
         return refusal is not None and refusal.until > now
--- a/tealhook/gossip.py
+++ b/tealhook/gossip.py
@@ -5,7 +5,7 @@
 from tealhook.context import NodeContext
 from tealhook.coordination import FLEET_KEY, Ownership, partition_key, team_key
 from tealhook.fleet import FleetManager
-from tealhook.fleet.demand import OrdinaryDemand
+from tealhook.fleet.demand import NonSpotDemand
 from tealhook.jobs import JobIndex
 from tealhook.mesh import Mesh
 from tealhook.partitions import PartitionManager
@@ -119,7 +119,7 @@
         zones: set[str] = set()
         usage: list[wire.TeamUsage] = []
         demand: list[wire.Demand] = []
-        ordinary_for = OrdinaryDemand()
+        ordinary_for = NonSpotDemand()
         for at, body in self._gossip.values():
             if now - at > USAGE_LEASES * self._workers.lease_s:
                 continue
--- a/tealhook/http/server.py
+++ b/tealhook/http/server.py
@@ -12,7 +12,7 @@
 from tealhook.loop.stream import Stream, listen
 from tealhook.wire.common import error_body
 
-log = logging.getLogger("tealhook.http")
+log = logging.getLogger(__name__)
 
 ROOMY_SHARE = 0.75  # of the connections: with fewer open, answers to workers may be held for a while
 RETRY_AFTER_S = 1  # what clients are told who are to come back, where the handler does not say when
--- a/tealhook/loop/loop.py
+++ b/tealhook/loop/loop.py
@@ -10,7 +10,7 @@
 from collections.abc import Callable
 from typing import Any
 
-log = logging.getLogger("tealhook.loop")
+log = logging.getLogger(__name__)
 
 MAX_POLL_S = 1.0
 
--- a/tealhook/loop/stream.py
+++ b/tealhook/loop/stream.py
@@ -10,7 +10,7 @@
 
 from tealhook.loop.loop import Loop
 
-log = logging.getLogger("tealhook.loop")
+log = logging.getLogger(__name__)
 
 READ_SIZE = 64 * 1024
 
--- a/tests/test_boots.py
+++ b/tests/test_boots.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from tealhook.fleet.boots import MEMORY_BOOTS, BootTimes
+from tealhook.fleet.provisioning import MEMORY_BOOTS, ProvisioningTimes
 from tealhook.wire.cloud import MachineType
 from tests.users import ALIKE
 from tests.world import World
@@ -14,32 +14,32 @@
 
 
 def test_the_time_is_learned_from_boots_and_forgotten():
-    boots = BootTimes()
+    boots = ProvisioningTimes()
     assert boots.expected_s(RIG, "za", 0.0) == READY_S
     for i in range(8):
-        boots.came_up(RIG, "za", 4 * READY_S, float(i))
+        boots.record_provisioned(RIG, "za", 4 * READY_S, float(i))
     late_s = boots.expected_s(RIG, "za", 8.0)
     assert 3.5 * READY_S < late_s < 4 * READY_S and boots.expected_s(RIG, "zb", 8.0) == READY_S
     assert boots.expected_s(RIG, "za", 8.0 + 3 * MEMORY_BOOTS * READY_S) < 1.2 * READY_S
     for i in range(8):
-        boots.came_up(RIG, "za", READY_S, 10.0 + i)
+        boots.record_provisioned(RIG, "za", READY_S, 10.0 + i)
     assert boots.expected_s(RIG, "za", 18.0) < 1.25 * READY_S
 
 
 def test_one_that_is_overdue_tells_of_the_others_before_it_is_up():
-    boots = BootTimes()
-    boots.still_starting(RIG, "za", 1.4 * READY_S)
+    boots = ProvisioningTimes()
+    boots.record_still_starting(RIG, "za", 1.4 * READY_S)
     assert boots.expected_s(RIG, "za", 0.0) == READY_S
-    boots.still_starting(RIG, "za", 3.0 * READY_S)
+    boots.record_still_starting(RIG, "za", 3.0 * READY_S)
     assert boots.expected_s(RIG, "za", 0.0) == pytest.approx(3.0 * READY_S)
-    boots.begin_look()
+    boots.begin_scan()
     assert boots.expected_s(RIG, "za", 0.0) == READY_S
 
 
 def _rented_in(seed: int, monkeypatch, learns: bool) -> tuple[float, int]:
     """Share of machines rented in a zone in which none comes up, once that can be known; and how many in all."""
     if not learns:
-        monkeypatch.setattr(BootTimes, "expected_s", lambda self, rig, zone, now: rig.boot_s)
+        monkeypatch.setattr(ProvisioningTimes, "expected_s", lambda self, rig, zone, now: rig.boot_s)
     world = World(seed, limit=1e6)
     world.cloud.dead_zones = {"za"}
     world.cloud.room = 20
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -69,7 +69,7 @@
     fleet, now, sent = world.nodes["n0"].fleet_manager, world.now, []
     fleet._machines = {name: RentedMachine(name, "small", "za", True, now - 300.0) for name in empty_s}
     fleet._mesh.send = lambda peer, body: sent.append(body)
-    fleet._surplus.clear()
+    fleet._surplus_samples.clear()
     states = {
         name: mesh.MachineState(name, "small", True, 4.0, left, 0.0, False, False, False)
         for name, left in empty_s.items()
@@ -125,7 +125,7 @@
     world, before = _listed_in_pages()
     fleet = next(node.fleet_manager for node in world.nodes.values() if node.fleet_manager._token is not None)
     assert before > 45 and world.cloud.refused <= 2  # a new owner of the fleet does not know what the last one used
-    assert fleet._list_ok and set(fleet._machines) >= set(list(world.cloud.machines)[:before])
+    assert fleet._has_listed and set(fleet._machines) >= set(list(world.cloud.machines)[:before])
     world.run(400.0)
     assert world.unfinished() == []
 
@@ -160,11 +160,11 @@
 
 
 def test_to_send_releases_into_a_cut_is_found_out(monkeypatch):
-    monkeypatch.setattr(FleetManager, "_cloud_is_back", lambda self: setattr(self, "_mute_since", None))
+    monkeypatch.setattr(FleetManager, "_on_cloud_recovered", lambda self: setattr(self, "_cloud_silent_since", None))
     whole = FleetManager._release
 
     def release(self, now):
-        self._mute_since = None
+        self._cloud_silent_since = None
         whole(self, now)
 
     monkeypatch.setattr(FleetManager, "_release", release)
@@ -217,7 +217,7 @@
     kept = []
     for keep in (0.0, 8.0, 24.0):
         sent.clear()
-        fleet._surplus.clear()
+        fleet._surplus_samples.clear()
         fleet._drain(states, 24.0, keep, world.nodes["n0"].context.policy.variables(), now)
         drained = {name for body in sent if isinstance(body, mesh.DrainRequest) for name in body.machines}
         kept.append(3 - len(drained))
--- a/tests/test_guards.py
+++ b/tests/test_guards.py
@@ -68,7 +68,7 @@
 def _silence_is_proof(patch):
     def fence(self, machines):
         if self._token is not None:
-            self._on_gone(machines)
+            self._on_released(machines)
 
     patch.setattr(FleetManager, "fence", fence)
 
--- a/tests/test_machine_types.py
+++ b/tests/test_machine_types.py
@@ -18,9 +18,9 @@
 
 from tealhook.coordination import FLEET_KEY
 from tealhook.fleet.machine_types import (
-    StoredTypes,
-    TypesRecord,
-    TypesStore,
+    MachineTypesRecord,
+    MachineTypeStore,
+    StoredMachineTypes,
     first_transaction,
     further_key,
     plan_changes,
@@ -103,7 +103,7 @@
         def done(outcome: Outcome, _epoch: int, _failed: list[str]) -> None:
             if outcome is Outcome.OK:
                 fleet._stored_types = {
-                    (kind.name, kind.vcpus, kind.memory_gb, tuple(kind.zones)) for kind in fleet._types.values()
+                    (kind.name, kind.vcpus, kind.memory_gb, tuple(kind.zones)) for kind in fleet._machine_types.values()
                 }
 
         value = {"rigs": world.cloud.rigs}
@@ -266,28 +266,28 @@
     rigs = _rigs(count)
     first, *others = split_types(rigs, most_bytes, _from_one)
     assert (first.more, first.more_from) == (len(others), 1)
-    assert [rig for record in (first, *others) for rig in record.rigs] == rigs
-    assert all(record.rigs and len(dumps(record)) <= most_bytes for record in (first, *others))
+    assert [rig for record in (first, *others) for rig in record.machine_types] == rigs
+    assert all(record.machine_types and len(dumps(record)) <= most_bytes for record in (first, *others))
     if others:
-        more = TypesRecord([*first.rigs, others[0].rigs[0]], first.more)
+        more = MachineTypesRecord([*first.machine_types, others[0].machine_types[0]], first.more)
         assert len(dumps(more)) > most_bytes
-        assert len(dumps(TypesRecord(rigs))) > most_bytes
+        assert len(dumps(MachineTypesRecord(rigs))) > most_bytes
 
 
 def test_production_reads_the_first_of_several_values_and_passes_over_the_rest():
     """Its reader takes `rigs` of `fleet/types` and ignores other fields."""
     first = split_types(_rigs(30), 717, lambda _count: 7)[0]
     assert (first.more, first.more_from) != (0, 1)
-    assert msgspec.convert(msgspec.to_builtins(first), MachineTypes).machine_types == first.rigs
+    assert msgspec.convert(msgspec.to_builtins(first), MachineTypes).machine_types == first.machine_types
 
 
 def test_a_type_too_large_for_any_value_does_not_hold_up_the_split():
-    assert [len(record.rigs) for record in split_types(_rigs(3), 50, _from_one)] == [1, 1, 1]
+    assert [len(record.machine_types) for record in split_types(_rigs(3), 50, _from_one)] == [1, 1, 1]
 
 
 def test_types_of_production_stay_one_value_of_the_same_bytes():
     rigs = msgspec.convert(PRODUCTION, MachineTypes).machine_types
-    (change,) = plan_changes(StoredTypes(), rigs, 2048)
+    (change,) = plan_changes(StoredMachineTypes(), rigs, 2048)
     assert dumps(change.operation.value) == dumps(PRODUCTION)
 
 
@@ -296,7 +296,7 @@
     rows = [state_wire.KeyValue(further_key(n), {"rigs": []}, 7) for n in (1, 2, 5)] + [
         state_wire.KeyValue(TYPES, {}, 9)
     ]
-    changes = plan_changes(StoredTypes.from_rows(rows), _rigs(600), 8192)
+    changes = plan_changes(StoredMachineTypes.from_items(rows), _rigs(600), 8192)
     groups, rest = [], changes
     while rest:
         group, rest = first_transaction(rest, txn_ops)
@@ -371,7 +371,7 @@
 
 def _names_stored(service: _Service) -> list[str] | None:
     rows = [state_wire.KeyValue(key, *row) for key, row in service.rows.items()]
-    rigs = StoredTypes.from_rows(rows).types()
+    rigs = StoredMachineTypes.from_items(rows).machine_types()
     return None if rigs is None else [rig.name for rig in rigs]
 
 
@@ -390,7 +390,7 @@
 
     service = _Service(rng, check)
     read = functools.partial(_names_stored, service)
-    types, token, rigs = TypesStore(service), 1, []
+    types, token, rigs = MachineTypeStore(service), 1, []
     for step in range(60):
         match rng.randrange(7):
             case 0:
