--- a/tealhook/admission/admission.py
+++ b/tealhook/admission/admission.py
@@ -14,8 +14,9 @@
 from tealhook.admission.submissions import Submission, lay_out, why_too_large
 from tealhook.context import NodeContext
 from tealhook.coordination import Versions
-from tealhook.jobs.index import JobIndex, JobRecord, JobState, job_key
-from tealhook.jobs.records import JobRecords, OnRecord
+from tealhook.jobs.index import JobIndex
+from tealhook.jobs.job_records import JobRecord, JobState, job_key
+from tealhook.jobs.record_store import JobRecordStore, OnRecord
 from tealhook.state_store import CallPriority, Outcome, ReadIndex, StateClient
 from tealhook.wire import state as state_wire
 from tealhook.wire.cloud import MachineType
@@ -48,7 +49,7 @@
         self._effects = context.effects
         self._store = store
         self._job_index = job_index
-        self._records = JobRecords(context, store, job_index)
+        self._records = JobRecordStore(context, store, job_index)
         self._read_index = ReadIndex(context, job_index.watcher, READ_TIMEOUT_S)
         self._types = types
         self._progress = progress
@@ -125,7 +126,7 @@
             refusal = 400, str(exc)
         ended = self._job_index.ended.get(job)
         if ended is not None:
-            reply(200, self._status_body(job, ended[0]))
+            reply(200, self._status_body(job, ended.status))
             return
         if self._refused_for_load(CallPriority.ADMIT, reply):
             return
@@ -270,7 +271,7 @@
             return
         ended = self._job_index.ended.get(job)
         if ended is not None:
-            reply(200, self._status_body(job, ended[0]))
+            reply(200, self._status_body(job, ended.status))
             return
 
         def read(kind: str, record: JobRecord | None, _version: int) -> None:
@@ -304,7 +305,7 @@
             return
         ended = self._job_index.ended.get(job)
         if ended is not None:
-            reply(200, dumps(JobStatus(job, ended[0])))
+            reply(200, dumps(JobStatus(job, ended.status)))
             return
         if asked and self._refused_for_load(CallPriority.ADMIT, reply):
             return
@@ -332,5 +333,8 @@
                 self.cancel(job, reply, tries - 1)  # done meanwhile, or nobody knows: read again
 
         self._records.end(
-            {job: (self._records.ended(team, JobState.CANCELLED), version)}, done, LONGEST_WAIT_S, READ_TIMEOUT_S
+            {job: (self._records.build_ended_record(team, JobState.CANCELLED), version)},
+            done,
+            LONGEST_WAIT_S,
+            READ_TIMEOUT_S,
         )
--- a/tealhook/admission/submissions.py
+++ b/tealhook/admission/submissions.py
@@ -4,7 +4,7 @@
 
 import msgspec
 
-from tealhook.jobs.index import JobRecord, JobState, job_key
+from tealhook.jobs.job_records import JobRecord, JobState, job_key
 from tealhook.scheduling.job_writes import TXN_BYTES
 from tealhook.state_store import StateClient
 from tealhook.wire.common import dumps
--- a/tealhook/controller.py
+++ b/tealhook/controller.py
@@ -94,12 +94,11 @@
         self.ownership.is_reachable = peers.reachable
         self.ownership.is_unheard = self.partition_manager.is_unheard
         self.ownership.listener = self._on_ownership_change
-        self.job_index.listener = self._on_job_changed
         self.partition_manager.on_zone = self._on_zone
 
     def start(self) -> None:
         """Begin to read the state service, to claim ownership keys, and to gossip twice per heartbeat period."""
-        self.job_index.start()
+        self.job_index.start(self)
         self.ownership.start()
         self.versions.start()
         every(self.context.effects, self.context.workers.report_s / 2, self.gossip.send)
@@ -118,10 +117,11 @@
         if is_valid and len(self.ownership.zones()) < MAX_ZONES:
             self.ownership.add_key(PARTITION_PREFIX + zone)
 
-    def _on_job_changed(self, job: str) -> None:
-        if self.job_index.status(job) != JobState.ACTIVE:
-            self._progress.pop(job, None)
-        self.team_scheduler.on_job_changed(job)
+    def on_job_changed(self, job_id: str) -> None:
+        """The job index has a change of a job: it is passed to the team's scheduler, if that is here."""
+        if self.job_index.status(job_id) != JobState.ACTIVE:
+            self._progress.pop(job_id, None)
+        self.team_scheduler.on_job_changed(job_id)
 
     def _send_status_update(self, team: str, update: wire.StatusUpdate) -> None:
         owner = self.ownership.owner(team_key(team))
--- a/tealhook/jobs/job.py
+++ b/tealhook/jobs/job.py
@@ -5,7 +5,7 @@
 import enum
 from typing import Any
 
-from tealhook.jobs.index import JobEntry
+from tealhook.jobs.job_entry import JobEntry
 from tealhook.jobs.tasks import Attempt, JobTasks
 from tealhook.wire.common import dumps
 
--- a/tealhook/jobs/tasks.py
+++ b/tealhook/jobs/tasks.py
@@ -5,7 +5,7 @@
 import heapq
 import math
 
-from tealhook.jobs.index import JobEntry
+from tealhook.jobs.job_entry import JobEntry
 from tealhook.placement import PlacementEstimate
 from tealhook.wire.mesh import TaskRequirements
 from tealhook.wire.users import JobKind, JobSpec
--- a/tealhook/partitions/commands.py
+++ b/tealhook/partitions/commands.py
@@ -5,7 +5,8 @@
 from collections.abc import Callable
 
 from tealhook.context import NodeContext
-from tealhook.jobs.index import JobIndex, JobState
+from tealhook.jobs.index import JobIndex
+from tealhook.jobs.job_records import JobState
 from tealhook.partitions.capacity import CapacityManager
 from tealhook.partitions.machine import Machine, MachineTask, capacity, fits
 from tealhook.partitions.status_updates import Updates
--- a/tealhook/scheduling/commits.py
+++ b/tealhook/scheduling/commits.py
@@ -10,9 +10,10 @@
 
 from tealhook.context import NodeContext
 from tealhook.coordination import partition_key
-from tealhook.jobs.index import JobIndex, JobRecord, JobState, job_key
+from tealhook.jobs.index import JobIndex
 from tealhook.jobs.job import Attempt, Job, WriteState, assignment_key, parse_assignment_key
-from tealhook.jobs.records import JobRecords
+from tealhook.jobs.job_records import JobRecord, JobState, job_key
+from tealhook.jobs.record_store import JobRecordStore
 from tealhook.jobs.team import TeamState
 from tealhook.loop.effects import Cancellable
 from tealhook.scheduling.job_writes import SMALLER, TXN_BYTES, Changes, JobWrite, Kind
@@ -68,7 +69,7 @@
         self._workers = context.workers
         self._store = store
         self._job_index = job_index
-        self._records = JobRecords(context, store, job_index)
+        self._records = JobRecordStore(context, store, job_index)
         self._changes = Changes(context, store, self._records)
         self._teams = teams
         self._observer = keeper
@@ -236,7 +237,7 @@
                 job.spec.estimated_run_s,
                 job.spec.deadline_s,
             )
-        self._job_index.apply_record(job.id, self._records.ended(job.team, JobState.DONE), revision)
+        self._job_index.apply_record(job.id, self._records.build_ended_record(job.team, JobState.DONE), revision)
         job.spec = None
         if job.attempts:
             self._observer.stop_all(team_state, job)
--- a/tealhook/scheduling/dependencies.py
+++ b/tealhook/scheduling/dependencies.py
@@ -10,8 +10,9 @@
 from typing import Any
 
 from tealhook.context import NodeContext
-from tealhook.jobs.index import JobIndex, JobRecord, JobState
-from tealhook.jobs.records import JobRecords
+from tealhook.jobs.index import JobIndex
+from tealhook.jobs.job_records import JobRecord, JobState
+from tealhook.jobs.record_store import JobRecordStore
 from tealhook.state_store import Outcome, StateClient
 
 log = logging.getLogger("tealhook.jobs")
@@ -24,7 +25,7 @@
         """For the teams in `homes`, as they come and go."""
         self._effects = context.effects
         self._job_index = job_index
-        self._records = JobRecords(context, store, job_index)
+        self._records = JobRecordStore(context, store, job_index)
         self._teams = teams
         self._pause = context.workers.report_s / 50
         self._due_jobs: dict[str, None] = {}  # blocked jobs to be looked at
@@ -92,7 +93,7 @@
 
         self._records.end(
             {
-                job: (self._records.ended(active[job].team, JobState.CANCELLED), active[job].mod_revision)
+                job: (self._records.build_ended_record(active[job].team, JobState.CANCELLED), active[job].mod_revision)
                 for job in jobs
             },
             done,
--- a/tealhook/scheduling/job_writes.py
+++ b/tealhook/scheduling/job_writes.py
@@ -7,9 +7,9 @@
 
 from tealhook.context import NodeContext
 from tealhook.coordination import partition_key, team_key
-from tealhook.jobs.index import JobState, job_key
 from tealhook.jobs.job import Attempt, Job, assignment_key
-from tealhook.jobs.records import JobRecords, ending
+from tealhook.jobs.job_records import JobState, job_key
+from tealhook.jobs.record_store import JobRecordStore, build_end_write
 from tealhook.jobs.team import TeamState
 from tealhook.state_store import StateClient
 from tealhook.wire import state as state_wire
@@ -65,7 +65,7 @@
 class Changes:
     """Lays out the writes of jobs, within the limits of the state service."""
 
-    def __init__(self, context: NodeContext, store: StateClient, records: JobRecords) -> None:
+    def __init__(self, context: NodeContext, store: StateClient, records: JobRecordStore) -> None:
         """Limits are those of `store`; ends are written as `records` has them."""
         self._effects = context.effects
         self._store = store
@@ -89,7 +89,8 @@
         limit, most = self._bounds(job)
         if job.finished:
             kind = Kind.DONE
-            condition, change = ending(job.id, self._records.ended(job.team, JobState.DONE), job.mod_revision)
+            ended = self._records.build_ended_record(job.team, JobState.DONE)
+            condition, change = build_end_write(job.id, ended, job.mod_revision)
             when.update(condition)
             changes.append(change)
         elif job.spec is None:
--- a/tealhook/scheduling/team_scheduler.py
+++ b/tealhook/scheduling/team_scheduler.py
@@ -13,9 +13,11 @@
 
 from tealhook.context import NodeContext
 from tealhook.coordination import Ownership
-from tealhook.jobs.index import JobEntry, JobIndex, JobRecord
+from tealhook.jobs.index import JobIndex
 from tealhook.jobs.job import Job, assignment_key, parse_assignment_key
-from tealhook.jobs.records import JobRecords
+from tealhook.jobs.job_entry import JobEntry
+from tealhook.jobs.job_records import JobRecord
+from tealhook.jobs.record_store import JobRecordStore
 from tealhook.jobs.team import TeamState
 from tealhook.loop.effects import every
 from tealhook.mesh import Mesh
@@ -44,7 +46,7 @@
         self._effects = context.effects
         self._store = store
         self._job_index = job_index
-        self._records = JobRecords(context, store, job_index)
+        self._records = JobRecordStore(context, store, job_index)
         self._workers = context.workers
         self._policy = context.policy
         self._team_settings = {team.name: team for team in context.settings.params.teams}
--- a/tests/test_bad_input.py
+++ b/tests/test_bad_input.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from tealhook.jobs.index import parse_record
+from tealhook.jobs.job_records import parse_record
 from tealhook.wire.job_parser import parse_job
 from tealhook.wire.users import JobSpec
 from tests.simulation.requests import reads_jobs
--- a/tests/test_job_records.py
+++ b/tests/test_job_records.py
@@ -6,9 +6,9 @@
 import pytest
 
 from tealhook.admission import admission
-from tealhook.jobs.index import JobRecord, JobState
 from tealhook.jobs.job import Job
-from tealhook.jobs.records import JobRecords, ending
+from tealhook.jobs.job_records import JobRecord, JobState
+from tealhook.jobs.record_store import JobRecordStore, build_end_write
 from tealhook.state_store import CallPriority, Outcome
 from tealhook.wire import state as state_wire
 from tealhook.wire.common import dumps
@@ -53,15 +53,15 @@
         return 1234.5678
 
 
-def _records() -> tuple[JobRecords, _Store, _Index]:
+def _records() -> tuple[JobRecordStore, _Store, _Index]:
     store, index = _Store(), _Index()
-    return JobRecords(make_context(_Clock()), store, index), store, index
+    return JobRecordStore(make_context(_Clock()), store, index), store, index
 
 
 def test_an_end_is_conditional_on_the_version_that_was_read():
     """Guards against two ends of one job: of its user, of its last task, of a job that it needs."""
     records, _store, _index = _records()
-    condition, change = ending("req-1", records.ended("team", JobState.DONE), 41)
+    condition, change = build_end_write("req-1", records.build_ended_record("team", JobState.DONE), 41)
     assert condition == {"job/req-1": 41}
     assert msgspec.to_builtins(change) == {"write": "job/req-1", "v": {"t": "team", "st": "done", "at": 1234.6}}
     assert list(change.value) == ["t", "st", "at"]  # as ever: what has been written stays alike
@@ -70,7 +70,9 @@
 def _end() -> tuple[_Store, _Index, list]:
     records, store, index = _records()
     told: list[tuple] = []
-    ends = {job: (records.ended("team", JobState.CANCELLED), version) for job, version in (("a", 3), ("b", 9))}
+    ends = {
+        job: (records.build_ended_record("team", JobState.CANCELLED), version) for job, version in (("a", 3), ("b", 9))
+    }
     records.end(ends, lambda outcome, uncertain: told.append((outcome, uncertain, len(index.learned))), 0.5, 1.5)
     return store, index, told
 
--- a/tests/test_left_waiting.py
+++ b/tests/test_left_waiting.py
@@ -4,8 +4,8 @@
 
 import pytest
 
-from tealhook.jobs.index import JobEntry
 from tealhook.jobs.job import Attempt, Job
+from tealhook.jobs.job_entry import JobEntry
 from tealhook.scheduling.candidates import CandidateSelection
 from tealhook.wire.job_parser import parse_job
 from tests.world import Broken, SimJob, World
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -9,8 +9,9 @@
 import msgspec
 import pytest
 
-from tealhook.jobs.index import JobEntry, parse_record
 from tealhook.jobs.job import Job
+from tealhook.jobs.job_entry import JobEntry
+from tealhook.jobs.job_records import parse_record
 from tealhook.settings import SettingsError
 from tealhook.settings.platform import parse_settings
 from tealhook.state_store import CallPriority, Outcome, StateClient
--- a/tests/test_mixed_versions.py
+++ b/tests/test_mixed_versions.py
@@ -364,7 +364,7 @@
     ("writer", "reader"), [(production, present), (present, production)], ids=["old to new", "new to old"]
 )
 ADDED_FIELDS = {"gossip": ("blocked", "placed")}  # at the end and with defaults; the version in production ignores them
-JOB_RECORDS = {production().package: "jobs.book", present().package: "jobs.index"}  # the module that reads them
+JOB_RECORDS = {production().package: "jobs.book", present().package: "jobs.job_records"}  # the module that reads them
 RARE_FRAMES = {"fence", "no"}  # seen in most, not in all sets of runs
 UNUSED_FRAMES = {"ok"}
 
@@ -454,9 +454,9 @@
 
 
 def _loaded(version: Version, piece: int, value: dict):
-    users, book = version.module("wire.users"), version.module(JOB_RECORDS[version.package])
+    users = version.module("wire.users")
     spec = users.JobSpec("req-000001", "x", "team-0", "array", "standard", 600, 2.0, 5.4)
-    entry = book.Known if version is production() else book.JobEntry
+    entry = version.module("jobs.book").Known if version is production() else version.module("jobs.job_entry").JobEntry
     job = version.module("jobs.job").Job("req-000001", "team-0", entry(spec, "team-0", 41, 0.0), 0.0)
     if not piece:
         setattr(job, "need" if version is production() else "resources", tuple(value["q"]))
--- a/tests/test_pipelines_names.py
+++ b/tests/test_pipelines_names.py
@@ -45,8 +45,8 @@
 
 def test_ends_are_read_once_they_are_forgotten(monkeypatch):
     """The nodes' memory of ended jobs is bounded; names that fell out of it count as before."""
-    monkeypatch.setattr(index, "LEAST_ENDED", 2)
-    monkeypatch.setattr(index, "ENDED_SHARE", 0.0)
+    monkeypatch.setattr(index, "MIN_ENDED_JOBS", 2)
+    monkeypatch.setattr(index, "ENDED_JOBS_MEMORY_SHARE", 0.0)
     world = settled(11)
     done = [submit(world, crew=team) for team in TEAMS]
     called_off = submit(world, **LONG)
@@ -66,8 +66,8 @@
 
 def test_every_node_answers_about_jobs_whose_names_are_forgotten(monkeypatch):
     """Also those that don't own their home: a memory that is too small is no reason to say nothing for ever."""
-    monkeypatch.setattr(index, "LEAST_ENDED", 2)
-    monkeypatch.setattr(index, "ENDED_SHARE", 0.0)
+    monkeypatch.setattr(index, "MIN_ENDED_JOBS", 2)
+    monkeypatch.setattr(index, "ENDED_JOBS_MEMORY_SHARE", 0.0)
     world = settled(18)
     done = submit(world)
     run_until(world, lambda: world.jobs[done].final == "done")
--- a/tests/test_records.py
+++ b/tests/test_records.py
@@ -4,8 +4,8 @@
 
 import pytest
 
-from tealhook.jobs.index import JobEntry
 from tealhook.jobs.job import Attempt, Job
+from tealhook.jobs.job_entry import JobEntry
 from tealhook.wire.common import dumps
 from tealhook.wire.users import JobSpec
 from tests.users import PLAIN
--- a/tests/test_rounds.py
+++ b/tests/test_rounds.py
@@ -2,7 +2,7 @@
 
 import json
 
-from tealhook.jobs.index import JobEntry
+from tealhook.jobs.job_entry import JobEntry
 from tealhook.partitions.capacity import CapacityManager
 from tealhook.partitions.machine import Machine, MachineTask
 from tealhook.scheduling import candidates
--- a/tests/test_thousands.py
+++ b/tests/test_thousands.py
@@ -13,7 +13,7 @@
 
 from tealhook.coordination import partition_key
 from tealhook.http import HttpServer
-from tealhook.jobs.index import JobEntry
+from tealhook.jobs.job_entry import EndedJob, JobEntry
 from tealhook.loop import Loop
 from tealhook.mesh import transport
 from tealhook.partitions import manager
@@ -138,7 +138,7 @@
         assert fleet.report_all(plays) == [[200]] * MACHINES
     for job in jobs:
         del node.job_index.active[job]
-        node.job_index.ended[job] = ("cancelled", "team-0", 0.0)
+        node.job_index.ended[job] = EndedJob("cancelled", "team-0", 0.0)
     reads: list[str] = []
     whole = world.state.handle
     world.state.handle = lambda who, method, target, body, answer: (
