--- a/tealhook/jobs/tasks.py
+++ b/tealhook/jobs/tasks.py
@@ -1,86 +1,45 @@
-"""One job's tasks in its home: which are done, waiting, being assigned, or may be on a machine."""
+"""One job's tasks in its team's scheduler: which are done, waiting, staged, or may be on a machine."""
 
 from __future__ import annotations
 
 import heapq
 import math
 
+from tealhook.jobs.assignment_record import DONE
+from tealhook.jobs.attempt import Attempt, AttemptState
 from tealhook.jobs.job_entry import JobEntry
-from tealhook.placement import PlacementEstimate
 from tealhook.wire.mesh import TaskRequirements
 from tealhook.wire.users import JobKind, JobSpec
-from tealhook.wire.workers import TaskStatus
-
-PATIENT_FAILURES = 3  # failures in a row before a job is tried one task at a time
-ASSIGNED = "assigned"  # the status of an attempt that its machine has not shown yet
-AVOID = 8  # machines on which a job failed lately, not tried again at once
-
-
-class Attempt:
-    """A task's assignment to a machine, durable before it is launched."""
-
-    __slots__ = (
-        "index",
-        "number",
-        "machine",
-        "session",
-        "zone",
-        "partition_token",
-        "status",
-        "estimate",
-        "reservation_id",
-        "acknowledged_sequence",
-        "launch_expires_at",
-        "assigned_at",
-        "stopping",
-        "chunk",
-    )
-
-    def __init__(self, index: int, number: int, machine: str, shift: int, zone: str, token: int, at: float) -> None:
-        """Task `index`, for the `number`th time, on a machine in its present shift."""
-        self.index = index
-        self.number = number
-        self.machine = machine
-        self.session = shift
-        self.zone = zone
-        self.partition_token = token  # the part's, when room was reserved
-        self.status: str = ASSIGNED  # or as its machine has shown it last
-        self.estimate: PlacementEstimate | None = None  # only for tasks that this home placed
-        self.reservation_id = 0
-        # News under `token` prove absence only above this number; None: the launch is not resolved.
-        self.acknowledged_sequence: int | None = None
-        # Until then a launch of ours may still reach the part; from then on its reservation has expired.
-        self.launch_expires_at = 0.0
-        self.assigned_at = at
-        self.stopping = False
-        self.chunk = 0  # of the job's record that names it
+
+FAILING_THRESHOLD = 3  # failures in a row from which on a job is tried one task at a time
+MAX_AVOIDED_MACHINES = 8  # machines on which a job failed lately, not tried again at once
 
 
 class JobTasks:
-    """A job's tasks. Each is done, or waits, or is staged, or is assigned: an attempt may be on its machine."""
+    """A job's tasks. Each is done, or waiting, or staged, or assigned: an attempt may be on its machine."""
 
-    def __init__(self, job: str, team: str, known: JobEntry | None, now: float) -> None:
-        """A job of a team; `known` is None when it is over, and only its tasks have to be cleared away."""
+    def __init__(self, job: str, team: str, entry: JobEntry | None, now: float) -> None:
+        """A job of a team; `entry` is None when it has ended, and only its tasks have to be removed."""
         self.id = job
         self.team = team
-        self.spec: JobSpec | None = known.spec if known else None
-        self.blocked = known.blocked if known else False  # it waits for other jobs: none of its tasks may start
-        self.priority = known.priority if known else 0  # its own, or the highest of any job that needs it
-        self.deadline_at = math.inf  # when it should be done, by the deadlines of the jobs that need it too
+        self.spec: JobSpec | None = entry.spec if entry else None
+        self.blocked = entry.blocked if entry else False  # it waits for its dependencies: none of its tasks may start
+        self.priority = entry.priority if entry else 0  # the highest of its own and of all jobs that depend on it
+        self.deadline_at = math.inf  # when it should be done, by the deadlines of its dependents too
         self.resources = self.spec.resources if self.spec else (0.0, 0.0, 0.0)
-        self.mod_revision = known.mod_revision if known else 0
+        self.mod_revision = entry.mod_revision if entry else 0
         self.last_attempt_number = 0  # highest attempt number given out; attempts only grow
         self.task_count = self.spec.task_count if self.spec else 0
         self.done = bytearray(self.task_count)
         self.done_count = 0
         self.attempts: dict[int, Attempt] = {}
         self.staged: dict[int, Attempt] = {}  # being made durable
-        self._next_fresh = 0
-        self._returned: list[int] = []
+        self._next_fresh = 0  # the first task that has never been staged or assigned from here
+        self._returned: list[int] = []  # heap of tasks that wait again
         self.schedulable_since = now  # when it was first seen here
-        self.ended_since: float | None = None  # since when its tasks have to go: it was cancelled
+        self.ended_since: float | None = None  # since when its tasks have to be stopped: it was cancelled
         self.waiting_since = now
-        self.last_assigned_at = -math.inf  # when a task of it was last assigned, as far as this home knows
+        self.last_assigned_at = -math.inf  # when a task of it was last assigned, as far as this scheduler knows
         self.failures = 0
         self.not_before = 0.0
         self.avoided_machines: list[str] = []
@@ -92,7 +51,7 @@
 
     @property
     def gang(self) -> bool:
-        """All tasks start together, or none does."""
+        """Whether all tasks start together, or none does."""
         return self.spec is not None and self.spec.kind == JobKind.GANG
 
     def waiting_count(self) -> int:
@@ -102,9 +61,9 @@
         return self.task_count - self.done_count - len(self.attempts) - len(self.staged)
 
     def requirements(self) -> TaskRequirements:
-        """What parts are asked for on behalf of its tasks."""
+        """Return what a machine must have for one of its tasks, as partitions are asked for it."""
         spec = self.spec
-        assert spec is not None, "nothing is placed for a job that is over"
+        assert spec is not None, "nothing is placed for a job that has ended"
         return TaskRequirements(
             spec.vcpus,
             spec.gpus,
@@ -118,7 +77,7 @@
         )
 
     def take_waiting_tasks(self, count: int) -> list[int]:
-        """Up to `count` waiting tasks, lowest numbers first."""
+        """Remove up to `count` tasks from those waiting, returned ones first, and the lowest first; return them."""
         taken: list[int] = []
         while len(taken) < count:
             if self._returned:
@@ -133,45 +92,43 @@
         return taken
 
     def return_task(self, index: int, now: float) -> None:
-        """A task waits again."""
+        """Put a task back to those waiting."""
         if index < self.task_count and not self.done[index]:
             heapq.heappush(self._returned, index)
             if self.waiting_count() <= 1:
                 self.waiting_since = now
 
     def unstage(self, attempts: list[Attempt], now: float) -> None:
-        """Tasks wait again that were to be assigned; their reservations expire by themselves."""
+        """Put staged tasks back to those waiting; their reservations expire by themselves."""
         for attempt in attempts:
             del self.staged[attempt.index]
             self.return_task(attempt.index, now)
 
     def mark_done(self, index: int) -> None:
-        """A task is done: it never waits again. Repeats change nothing."""
+        """Record that a task is done: it never waits again. Repeats change nothing."""
         if index < self.task_count and not self.done[index]:
-            self.done[index] = 1
+            self.done[index] = DONE
             self.done_count += 1
 
     def record_failure(self, machine: str) -> None:
-        """A task failed on a machine: the job's next ones go elsewhere for a while."""
+        """Record that a task failed on a machine: the job's next ones avoid it for a while."""
         self.failures += 1
         if machine in self.avoided_machines:
             self.avoided_machines.remove(machine)
         self.avoided_machines.append(machine)
-        del self.avoided_machines[:-AVOID]
+        del self.avoided_machines[:-MAX_AVOIDED_MACHINES]
 
     @property
     def failing(self) -> bool:
         """Whether its tasks fail one after the other and none ends: it may have been submitted with a mistake.
 
-        It is tried on, one task at a time and ever less often, but no other job may lose anything for it.
+        It is retried one task at a time and ever less often, but no other job may lose anything for it.
         """
-        return self.failures >= PATIENT_FAILURES
+        return self.failures >= FAILING_THRESHOLD
 
     def running_count(self) -> int:
         """Tasks that their machines have shown to run."""
-        return sum(
-            1 for attempt in self.attempts.values() if attempt.status in (TaskStatus.RUNNING, TaskStatus.CHECKPOINTING)
-        )
+        return sum(1 for attempt in self.attempts.values() if attempt.state is AttemptState.RUNNING)
 
     def count_in_zone(self, zone: str) -> int:
         """Tasks that may be on machines of a zone."""
--- a/tealhook/jobs/team.py
+++ b/tealhook/jobs/team.py
@@ -1,4 +1,4 @@
-"""What the owner of a team knows of it, from its claim on."""
+"""What a team's scheduler knows of the team, from its claim of the ownership on."""
 
 from __future__ import annotations
 
@@ -7,22 +7,23 @@
 
 
 class TeamState:
-    """One team's jobs under one ownership of its home."""
+    """One team's jobs during one ownership of the team."""
 
     def __init__(self, team: str, token: int) -> None:
         """`token` is the fencing token of the ownership."""
         self.name = team
         self.token = token
-        self.ready = False
+        self.ready = False  # all assignment records have been read
         self.jobs: dict[str, Job] = {}
-        self.factors: dict[str, Feedback] = {}
-        self.latest_updates: dict[str, tuple[int, int]] = {}  # machine -> newest (token, seq) of its part's owner
-        self.stray_machines: dict[str, str] = {}  # machines that run tasks we gave up, and their zones
+        self.factors: dict[str, Feedback] = {}  # zone -> how actual finishes compare with estimates
+        # machine -> (token, sequence) of the newest status update, from its partition's owner
+        self.latest_updates: dict[str, tuple[int, int]] = {}
+        self.stray_machines: dict[str, str] = {}  # machines that run tasks which were given up, and their zones
         self.guarantee = 0.0
         self.limit = 0.0
         self.gpus_limit = 0.0
-        self.reserved_for_overdue = [0.0, 0.0]  # CPUs and cards of the limit that only overdue jobs may take
+        self.reserved_for_overdue = [0.0, 0.0]  # CPUs and GPUs of the limit that only overdue jobs may take
 
     def allocated(self, which: int = 0) -> float:
-        """CPUs (0) or cards (1) of every task that is not proved off its machine."""
+        """CPUs (0) or GPUs (1) of every task that is not proved off its machine."""
         return sum(job.resources[which] * (len(job.attempts) + len(job.staged)) for job in self.jobs.values())
--- a/tealhook/scheduling/attempts.py
+++ b/tealhook/scheduling/attempts.py
@@ -12,9 +12,10 @@
 
 from tealhook.context import NodeContext
 from tealhook.coordination import Ownership, partition_key
+from tealhook.jobs.attempt import Attempt, AttemptState
 from tealhook.jobs.index import JobIndex
-from tealhook.jobs.job import Attempt, Job, WriteState
-from tealhook.jobs.tasks import PATIENT_FAILURES
+from tealhook.jobs.job import FinishedTask, Job, WriteState
+from tealhook.jobs.tasks import FAILING_THRESHOLD
 from tealhook.jobs.team import TeamState
 from tealhook.mesh import Mesh
 from tealhook.placement import Feedback, PlacementEstimate
@@ -139,7 +140,7 @@
         """An attempt is on its machine, or has ended there."""
         if observed.status != TaskStatus.EXITED:
             if observed.status != wire.LAUNCHING:
-                attempt.status = observed.status
+                attempt.state = AttemptState.from_task_status(observed.status)
             if job.spec is None and not attempt.stopping:
                 attempt.stopping = True
                 stops.append((attempt.machine, job.id, attempt.index, attempt.number, 0.0))
@@ -152,7 +153,7 @@
             job.mark_done(attempt.index)
             job.failures = 0
             # The outcome first, durably; then `clear`.
-            job.to_forget.append((attempt.zone, attempt.machine, attempt.index, attempt.number))
+            job.to_forget.append(FinishedTask(attempt.zone, attempt.machine, attempt.index, attempt.number))
             self.commits.mark_deferrable(job, now)
             if job.finished:
                 self.commits.schedule_commit()
@@ -171,11 +172,11 @@
         if cause == ExitCause.ERROR:
             job.record_failure(attempt.machine)
             if job.failing:
-                steps = min(job.failures - PATIENT_FAILURES, MOST_BACKOFF_STEPS)
+                steps = min(job.failures - FAILING_THRESHOLD, MOST_BACKOFF_STEPS)
                 pause = self._workers.report_s * 2**steps
                 job.not_before = now + pause * (0.75 + 0.5 * self._effects.rng.random())
             log.debug("%s/%d failed on %s", job.id, attempt.index, attempt.machine)
-            if job.failures == PATIENT_FAILURES:  # once, however often it fails from now on
+            if job.failures == FAILING_THRESHOLD:  # once, however often it fails from now on
                 log.info("%s: %d tasks failed and none is done: tried one at a time", job.id, job.failures)
         elif cause in (ExitCause.FULL, ExitCause.BUSY, ExitCause.UNKNOWN):
             log.info("%s/%d refused by %s: %s", job.id, attempt.index, attempt.machine, cause)
@@ -189,7 +190,7 @@
             if current is not None:
                 stops.append((current.machine, job.id, current.index, current.number, 0.0))
             self.commits.mark_deferrable(job, self._effects.now())
-        job.to_forget.append((update.zone, update.machine, observed.index, observed.attempt))
+        job.to_forget.append(FinishedTask(update.zone, update.machine, observed.index, observed.attempt))
         self.commits.schedule_commit()
 
     def _learn_feedback(self, team_state: TeamState, zone: str, placed: PlacementEstimate, now: float) -> None:
--- a/tealhook/scheduling/commits.py
+++ b/tealhook/scheduling/commits.py
@@ -10,8 +10,11 @@
 
 from tealhook.context import NodeContext
 from tealhook.coordination import partition_key
+from tealhook.errors import CorruptRecordError
+from tealhook.jobs.assignment_record import assignment_key, parse_assignment_key
+from tealhook.jobs.attempt import Attempt
 from tealhook.jobs.index import JobIndex
-from tealhook.jobs.job import Attempt, Job, WriteState, assignment_key, parse_assignment_key
+from tealhook.jobs.job import Job, WriteState
 from tealhook.jobs.job_records import JobRecord, JobState, job_key
 from tealhook.jobs.record_store import JobRecordStore
 from tealhook.jobs.team import TeamState
@@ -247,7 +250,7 @@
     def _assigned(self, write: JobWrite, launches: dict) -> None:
         """A job's assignments are durable: what was staged may be launched."""
         team_state, job = write.team_state, write.job
-        job.move(write.moved_attempts, write.written_chunks)
+        job.move_attempts(write.moved_attempts, write.written_chunks)
         if 0 in write.written_chunks:
             job.uncertain_chunks.clear()  # a copy of unknown outcome fails on the first piece's stamp from now on
         job.has_deferrable_change = bool(job.dirty_chunks or job.staged.keys() - {a.index for a in write.staged})
@@ -331,12 +334,12 @@
             for job_id, chunk in [parse_assignment_key(row.key, team_state.name)]
             if job_id == job.id
         ]
-        job.forget_places({chunk for row, chunk in found if row.mod_revision == revisions.get(chunk)})
+        job.forget_chunks_except({chunk for row, chunk in found if row.mod_revision == revisions.get(chunk)})
         for row, chunk in found:
             if row.mod_revision == revisions.get(chunk):
                 job.chunk_revisions[chunk] = row.mod_revision
                 continue
             try:
                 job.load(chunk, row.value, row.mod_revision, now, self.proved_off.get(job.id))
-            except ValueError as exc:
+            except CorruptRecordError as exc:
                 log.error("%s", exc)
--- a/tealhook/scheduling/cycle.py
+++ b/tealhook/scheduling/cycle.py
@@ -8,8 +8,9 @@
 
 from tealhook.context import NodeContext
 from tealhook.coordination import Ownership, partition_key
+from tealhook.jobs.attempt import Attempt
 from tealhook.jobs.index import JobIndex
-from tealhook.jobs.job import Attempt, WriteState
+from tealhook.jobs.job import WriteState
 from tealhook.jobs.team import TeamState
 from tealhook.mesh import Mesh
 from tealhook.placement import NEVER_S, Choice, Group, PartitionView, PlacementEstimate, plan_cycle
--- a/tealhook/scheduling/job_writes.py
+++ b/tealhook/scheduling/job_writes.py
@@ -7,7 +7,10 @@
 
 from tealhook.context import NodeContext
 from tealhook.coordination import partition_key, team_key
-from tealhook.jobs.job import Attempt, Job, assignment_key
+from tealhook.jobs.assignment_record import assignment_key
+from tealhook.jobs.attempt import Attempt
+from tealhook.jobs.chunk_layout import MovedAttempt
+from tealhook.jobs.job import Job
 from tealhook.jobs.job_records import JobState, job_key
 from tealhook.jobs.record_store import JobRecordStore, build_end_write
 from tealhook.jobs.team import TeamState
@@ -48,7 +51,7 @@
         kind: Kind,
         written: Iterable[int],
         kept: set[int],
-        moved: list[tuple[Attempt, int]],
+        moved: list[MovedAttempt],
         named: set[int],
     ) -> None:
         """The write of `job` with the tasks that were `staged` when it was laid out."""
@@ -84,7 +87,7 @@
         # A copy that may be executed late must not come to pieces of which we would know nothing.
         named = {0, *sorted(job.uncertain_chunks)[: self._store.max_operations]}
         changes: list[state_wire.Operation] = []
-        moved: list[tuple[Attempt, int]] = []
+        moved: list[MovedAttempt] = []
         kind, staged = Kind.PUT, []
         limit, most = self._bounds(job)
         if job.finished:
--- a/tealhook/scheduling/reconciliation.py
+++ b/tealhook/scheduling/reconciliation.py
@@ -7,7 +7,7 @@
 
 from tealhook.context import NodeContext
 from tealhook.coordination import FLEET_KEY, Ownership, partition_key
-from tealhook.jobs.tasks import ASSIGNED
+from tealhook.jobs.attempt import AttemptState
 from tealhook.jobs.team import TeamState
 from tealhook.mesh import Mesh
 from tealhook.scheduling.attempts import Attempts
@@ -47,7 +47,9 @@
             for attempt in job.attempts.values():
                 heard = zones.setdefault(attempt.zone, {})
                 token, seq = team_state.latest_updates.get(attempt.machine, (0, 0))
-                if attempt.status == ASSIGNED or token != self._ownership.token(partition_key(attempt.zone)):
+                if attempt.state is AttemptState.ASSIGNED or token != self._ownership.token(
+                    partition_key(attempt.zone)
+                ):
                     seq = 0  # not settled yet: what the machine lacks is asked for, however old it is
                 heard[attempt.machine] = min(seq, heard.get(attempt.machine, seq))
         for zone, heard in sorted(zones.items()):
--- a/tealhook/scheduling/team_scheduler.py
+++ b/tealhook/scheduling/team_scheduler.py
@@ -13,8 +13,10 @@
 
 from tealhook.context import NodeContext
 from tealhook.coordination import Ownership
+from tealhook.errors import CorruptRecordError
+from tealhook.jobs.assignment_record import assignment_key, parse_assignment_key
 from tealhook.jobs.index import JobIndex
-from tealhook.jobs.job import Job, assignment_key, parse_assignment_key
+from tealhook.jobs.job import Job
 from tealhook.jobs.job_entry import JobEntry
 from tealhook.jobs.job_records import JobRecord
 from tealhook.jobs.record_store import JobRecordStore
@@ -143,7 +145,7 @@
             job = team_state.jobs.get(job_id) or self._job(team_state, job_id, now)
             try:
                 job.load(chunk, row.value, row.mod_revision, now)
-            except ValueError as exc:
+            except CorruptRecordError as exc:
                 log.error("%s", exc)
                 continue
             team_state.jobs[job_id] = job
--- a/tests/test_left_waiting.py
+++ b/tests/test_left_waiting.py
@@ -4,7 +4,8 @@
 
 import pytest
 
-from tealhook.jobs.job import Attempt, Job
+from tealhook.jobs.attempt import Attempt
+from tealhook.jobs.job import Job
 from tealhook.jobs.job_entry import JobEntry
 from tealhook.scheduling.candidates import CandidateSelection
 from tealhook.wire.job_parser import parse_job
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -139,7 +139,7 @@
         else:
             durable.pop(piece, None)
             job.chunk_revisions.pop(piece, None)
-    job.move(job.moved_attempts, set(written))
+    job.move_attempts(job.moved_attempts, set(written))
     return written
 
 
@@ -190,7 +190,7 @@
     attempt, target = job.moved_attempts[0]
     del job.attempts[attempt.index]
     job.dirty_chunks.add(attempt.chunk)
-    job.move(job.moved_attempts, set(written))
+    job.move_attempts(job.moved_attempts, set(written))
     assert {0, target} <= job.dirty_chunks
 
 
--- a/tests/test_records.py
+++ b/tests/test_records.py
@@ -4,7 +4,8 @@
 
 import pytest
 
-from tealhook.jobs.job import Attempt, Job
+from tealhook.jobs.attempt import Attempt
+from tealhook.jobs.job import Job
 from tealhook.jobs.job_entry import JobEntry
 from tealhook.wire.common import dumps
 from tealhook.wire.users import JobSpec
