--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -9,8 +9,9 @@
 import msgspec
 import pytest
 
-from tealhook.jobs.index import JobEntry, parse_record
 from tealhook.jobs.job import Job
+from tealhook.jobs.job_entry import JobEntry
+from tealhook.jobs.job_records import parse_record
 from tealhook.settings import SettingsError
 from tealhook.settings.platform import parse_settings
 from tealhook.state_store import CallPriority, Outcome, StateClient
@@ -138,7 +139,7 @@
         else:
             durable.pop(piece, None)
             job.chunk_revisions.pop(piece, None)
-    job.move(job.moved_attempts, set(written))
+    job.move_attempts(job.moved_attempts, set(written))
     return written
 
 
@@ -189,7 +190,7 @@
     attempt, target = job.moved_attempts[0]
     del job.attempts[attempt.index]
     job.dirty_chunks.add(attempt.chunk)
-    job.move(job.moved_attempts, set(written))
+    job.move_attempts(job.moved_attempts, set(written))
     assert {0, target} <= job.dirty_chunks
 
 
