--- a/tealhook/partitions/commands.py
+++ b/tealhook/partitions/commands.py
@@ -171,22 +171,24 @@
         return mesh.LaunchReply(self._token, self._updates.next_sequence(), refused)
 
     def stop(self, request: mesh.StopRequest) -> None:
-        """Kill or clear attempts on behalf of the home's present owner."""
+        """Stop or forget attempts on behalf of the team's present owner."""
         if not self._capacity.accept_team_token(request.team, request.team_token):
             return
         killing: dict[str, Machine] = {}
-        for name, job, index, attempt, wind_down in request.items:
-            machine = self._machines.get(name)
+        for stop in request.items:
+            machine = self._machines.get(stop.machine)
             if machine is None:
                 continue
-            key = (f"{job}/{index}", attempt)
-            if wind_down < 0:
+            key = (f"{stop.job}/{stop.index}", stop.attempt)
+            if stop.grace_period_s < 0:
                 if key in machine.tasks:
                     machine.pending_forgets.add(key)
             elif key in machine.tasks:
                 if key not in machine.pending_stops and machine.tasks[key].alive:
-                    killing[name] = machine
-                machine.pending_stops[key] = min(wind_down, machine.pending_stops.get(key, wind_down))
+                    killing[stop.machine] = machine
+                machine.pending_stops[key] = min(
+                    stop.grace_period_s, machine.pending_stops.get(key, stop.grace_period_s)
+                )
             else:
                 self._revoke(machine, key)
         for machine in killing.values():
--- a/tealhook/scheduling/attempts.py
+++ b/tealhook/scheduling/attempts.py
@@ -25,6 +25,7 @@
 
 log = logging.getLogger("tealhook.jobs")
 
+AT_ONCE = 0.0  # the grace period of a task whose progress nobody needs
 MOST_BACKOFF_STEPS = 5  # so often the pause between tries of a failing job doubles
 
 
@@ -78,7 +79,7 @@
             return
         team_state.latest_updates[update.machine] = order
         team_state.stray_machines.pop(update.machine, None)
-        stops: list[tuple[str, str, int, int, float]] = []
+        stops: list[wire.TaskStop] = []
         shown = self._match_observed(team_state, update, stops)
         for team, job_id, index in sorted(self.on_machine.get(update.machine, ())):
             if team != update.team:
@@ -92,7 +93,9 @@
                 self._on_off_machine(team_state, job, attempt)
         self._send_stops(team_state, update.zone, stops)
 
-    def _match_observed(self, team_state: TeamState, update: wire.StatusUpdate, stops: list) -> set[tuple[str, int]]:
+    def _match_observed(
+        self, team_state: TeamState, update: wire.StatusUpdate, stops: list[wire.TaskStop]
+    ) -> set[tuple[str, int]]:
         """Take what is on a machine; which of our tasks it is shown to have, and into `stops` what must go."""
         shown: set[tuple[str, int]] = set()
         for observed in update.tasks:
@@ -111,11 +114,13 @@
                     # An attempt given up earlier did finish: its result is kept, so the task is done.
                     self._on_stray_done(job, observed, update, stops)
                 else:
-                    stops.append((update.machine, observed.job, observed.index, observed.attempt, -1.0))
+                    stops.append(
+                        wire.TaskStop(update.machine, observed.job, observed.index, observed.attempt, wire.FORGET)
+                    )
             elif observed.status != wire.LAUNCHING:
                 # The kill may be lost on its way: the machine is looked at until it is rid of the task.
                 team_state.stray_machines[update.machine] = update.zone
-                stops.append((update.machine, observed.job, observed.index, observed.attempt, 0.0))
+                stops.append(wire.TaskStop(update.machine, observed.job, observed.index, observed.attempt, AT_ONCE))
         return shown
 
     @staticmethod
@@ -134,7 +139,7 @@
         )
 
     def _on_observed(
-        self, team_state: TeamState, job: Job, attempt: Attempt, observed: wire.ObservedTask, stops: list
+        self, team_state: TeamState, job: Job, attempt: Attempt, observed: wire.ObservedTask, stops: list[wire.TaskStop]
     ) -> None:
         """An attempt is on its machine, or has ended there."""
         if observed.status != TaskStatus.EXITED:
@@ -142,7 +147,7 @@
                 attempt.status = observed.status
             if job.spec is None and not attempt.stopping:
                 attempt.stopping = True
-                stops.append((attempt.machine, job.id, attempt.index, attempt.number, 0.0))
+                stops.append(wire.TaskStop(attempt.machine, job.id, attempt.index, attempt.number, AT_ONCE))
             return
         now = self._effects.now()
         self._remove(team_state, job, attempt)
@@ -164,7 +169,7 @@
             self._restart_gang(team_state, job)
             self.wake_scheduler()
         self.end_if_unassigned(team_state, job)
-        stops.append((attempt.machine, job.id, attempt.index, attempt.number, -1.0))
+        stops.append(wire.TaskStop(attempt.machine, job.id, attempt.index, attempt.number, wire.FORGET))
 
     def _on_failed_attempt(self, job: Job, attempt: Attempt, cause: str | None, now: float) -> None:
         """A task failed, or its worker did not take it: when the job's next tasks may start."""
@@ -181,13 +186,15 @@
             log.info("%s/%d refused by %s: %s", job.id, attempt.index, attempt.machine, cause)
             job.not_before = max(job.not_before, now + self._workers.report_s / 2)
 
-    def _on_stray_done(self, job: Job, observed: wire.ObservedTask, update: wire.StatusUpdate, stops: list) -> None:
+    def _on_stray_done(
+        self, job: Job, observed: wire.ObservedTask, update: wire.StatusUpdate, stops: list[wire.TaskStop]
+    ) -> None:
         """A task was done by an attempt that had been given up: the one that took its place is stopped."""
         if observed.index < job.task_count and not job.done[observed.index]:
             job.mark_done(observed.index)
             current = job.attempts.get(observed.index)
             if current is not None:
-                stops.append((current.machine, job.id, current.index, current.number, 0.0))
+                stops.append(wire.TaskStop(current.machine, job.id, current.index, current.number, AT_ONCE))
             self.commits.mark_deferrable(job, self._effects.now())
         job.to_forget.append((update.zone, update.machine, observed.index, observed.attempt))
         self.commits.schedule_commit()
@@ -233,22 +240,24 @@
 
     def stop_all(self, team_state: TeamState, job: Job) -> None:
         """Kill whatever a terminal job may still have on machines."""
-        zones: dict[str, list[tuple[str, str, int, int, float]]] = {}
+        zones: dict[str, list[wire.TaskStop]] = {}
         for attempt in job.attempts.values():
-            zones.setdefault(attempt.zone, []).append((attempt.machine, job.id, attempt.index, attempt.number, 0.0))
+            zones.setdefault(attempt.zone, []).append(
+                wire.TaskStop(attempt.machine, job.id, attempt.index, attempt.number, AT_ONCE)
+            )
         for zone, items in zones.items():
             self._send_stops(team_state, zone, items)
 
-    def _send_stops(self, team_state: TeamState, zone: str, items: list) -> None:
+    def _send_stops(self, team_state: TeamState, zone: str, items: list[wire.TaskStop]) -> None:
         owner = self._ownership.owner(partition_key(zone))
         if owner is not None and items:
             self._mesh.send(owner, wire.StopRequest(zone, team_state.name, team_state.token, items))
 
     def forget_finished(self, team_state: TeamState, job: Job) -> None:
         """Have workers forget tasks whose outcome is on record: before, a repeat would start them anew."""
-        zones: dict[str, list] = {}
+        zones: dict[str, list[wire.TaskStop]] = {}
         for zone, machine, index, number in job.to_forget:
-            zones.setdefault(zone, []).append((machine, job.id, index, number, -1.0))
+            zones.setdefault(zone, []).append(wire.TaskStop(machine, job.id, index, number, wire.FORGET))
         job.to_forget.clear()
         for zone, items in zones.items():
             self._send_stops(team_state, zone, items)
--- a/tealhook/wire/mesh.py
+++ b/tealhook/wire/mesh.py
@@ -5,6 +5,7 @@
 import msgspec
 
 LAUNCHING = "launching"  # the status of an observed task whose launch is not resolved
+FORGET = -1.0  # a grace period: the attempt has ended and its outcome is on record, so the worker may forget it
 
 
 class TaskRequirements(msgspec.Struct, array_like=True, frozen=True):
@@ -161,13 +162,26 @@
     mostly_reporting: bool = msgspec.field(default=False, name="lone")
 
 
+class TaskStop(msgspec.Struct, array_like=True, forbid_unknown_fields=True):
+    """An attempt that a machine is to stop within a grace period, or to forget: any negative period, as `FORGET`.
+
+    Its encoding is that of a tuple of these five items: more or fewer are refused.
+    """
+
+    machine: str
+    job: str
+    index: int
+    attempt: int
+    grace_period_s: float
+
+
 class StopRequest(msgspec.Struct, tag="stop"):
-    """Kill or clear attempts: [machine, job, index, attempt, wind_down]; wind_down < 0 clears."""
+    """Have the workers of a zone stop or forget attempts."""
 
     zone: str
     team: str
     team_token: int = msgspec.field(name="home_token")
-    items: list[tuple[str, str, int, int, float]]
+    items: list[TaskStop]
 
 
 class FenceRequest(msgspec.Struct, tag="fence"):
