--- a/tealhook/gossip.py
+++ b/tealhook/gossip.py
@@ -69,7 +69,7 @@
         progress = self._team_scheduler.progress()
         usage = self._team_scheduler.usage()
         demand = self._team_scheduler.demand()
-        blocked, placed = self._team_scheduler.ordinary_demand()
+        blocked, placed = self._team_scheduler.non_spot_demand()
         machines = {zone: part.machine_states() for zone, part in self._partition_manager.partitions.items()}
         age = now - self._store.answered_at
         addrs = self._fleet.addresses()
--- a/tealhook/jobs/team.py
+++ b/tealhook/jobs/team.py
@@ -17,7 +17,7 @@
         self.jobs: dict[str, Job] = {}
         self.factors: dict[str, Feedback] = {}
         self.latest_updates: dict[str, tuple[int, int]] = {}  # machine -> newest (token, seq) of its part's owner
-        self.stray_machines: dict[str, str] = {}  # machines that run tasks we gave up, and their zones
+        self.machines_with_orphans: dict[str, str] = {}  # machines that run attempts no longer on record -> zone
         self.guarantee = 0.0
         self.limit = 0.0
         self.gpus_limit = 0.0
--- /dev/null
+++ b/tealhook/scheduling/attempt_index.py
@@ -0,0 +1,67 @@
+"""Index of recorded attempts by machine: which tasks may be on a machine, whatever its last report shows."""
+
+from __future__ import annotations
+
+from collections.abc import Iterator, Mapping
+from typing import NamedTuple
+
+from tealhook.jobs.job import Attempt, Job
+from tealhook.jobs.team import TeamState
+
+
+class TaskKey(NamedTuple):
+    """Names a task among those of all teams."""
+
+    team: str
+    job: str
+    task_index: int
+
+
+class AttemptIndex:
+    """The attempts on record of all teams that this node owns, by machine.
+
+    Attempts are found in the order of team, job and task index: seeded runs must go the same way every time. They are
+    looked up one by one, so that a caller may end some while it goes through them.
+    """
+
+    def __init__(self) -> None:
+        """An index of no attempts."""
+        self._keys_by_machine: dict[str, set[TaskKey]] = {}
+
+    def add(self, team_state: TeamState, job: Job, attempt: Attempt) -> None:
+        """An attempt is on record: from now on it may be on its machine."""
+        keys = self._keys_by_machine.setdefault(attempt.machine, set())
+        keys.add(TaskKey(team_state.name, job.id, attempt.index))
+
+    def remove(self, team_state: TeamState, job: Job, attempt: Attempt) -> None:
+        """An attempt is off its machine, or this node does not own its team any more."""
+        keys = self._keys_by_machine.get(attempt.machine)
+        if keys is not None:
+            keys.discard(TaskKey(team_state.name, job.id, attempt.index))
+            if not keys:
+                del self._keys_by_machine[attempt.machine]
+
+    def find(self, machine: str, team_state: TeamState) -> Iterator[tuple[Job, Attempt]]:
+        """A team's attempts on a machine, with their jobs."""
+        for key in sorted(self._keys_by_machine.get(machine, ())):
+            if key.team == team_state.name:
+                found = _resolve(key, machine, team_state)
+                if found is not None:
+                    yield found
+
+    def find_all(self, machine: str, teams: Mapping[str, TeamState]) -> Iterator[tuple[TeamState, Job, Attempt]]:
+        """The attempts of all `teams` on a machine, with their teams and jobs."""
+        for key in sorted(self._keys_by_machine.get(machine, ())):
+            team_state = teams.get(key.team)
+            found = _resolve(key, machine, team_state) if team_state is not None else None
+            if team_state is not None and found is not None:
+                yield team_state, *found
+
+
+def _resolve(key: TaskKey, machine: str, team_state: TeamState) -> tuple[Job, Attempt] | None:
+    """The current attempt at a task, if it is the one on this machine."""
+    job = team_state.jobs.get(key.job)
+    attempt = job.attempts.get(key.task_index) if job is not None else None
+    if job is None or attempt is None or attempt.machine != machine:
+        return None
+    return job, attempt
--- a/tealhook/scheduling/attempts.py
+++ b/tealhook/scheduling/attempts.py
@@ -1,103 +1,83 @@
-"""What becomes of assignments on record: launched, seen on their machines, proved off them, stopped and cleared.
+"""Follows recorded attempts from status updates: observed on their machines, ended there, or proved absent.
 
-An attempt ends when a report shows its end, or when it is provably off its machine; never by a time-out alone.
+An attempt ends when a report shows its end, or when it is provably off its machine; never by a timeout alone.
 """
 
 from __future__ import annotations
 
 import logging
 from collections.abc import Callable
-from functools import partial
 from typing import Any
 
 from tealhook.context import NodeContext
-from tealhook.coordination import Ownership, partition_key
-from tealhook.jobs.index import JobIndex
-from tealhook.jobs.job import Attempt, Job, WriteState
-from tealhook.jobs.tasks import PATIENT_FAILURES
+from tealhook.jobs.job import Attempt, Job
 from tealhook.jobs.team import TeamState
-from tealhook.mesh import Mesh
 from tealhook.placement import Feedback, PlacementEstimate
+from tealhook.scheduling.attempt_index import AttemptIndex
 from tealhook.scheduling.commits import Commits
-from tealhook.state_store import StateClient
+from tealhook.scheduling.failure_backoff import FailureBackoff
+from tealhook.scheduling.job_cleanup import JobCleanup
+from tealhook.scheduling.stop_commands import AT_ONCE, StopCommands
 from tealhook.wire import mesh as wire
 from tealhook.wire.workers import ExitCause, TaskStatus
 
-log = logging.getLogger("tealhook.jobs")
+log = logging.getLogger(__name__)
 
-AT_ONCE = 0.0  # the grace period of a task whose progress nobody needs
-MOST_BACKOFF_STEPS = 5  # so often the pause between tries of a failing job doubles
+NO_UPDATE = (0, 0)  # comes before every (token, sequence) of a status update
 
 
 class Attempts:
-    """The attempts of all homes that this node owns, and when a job that is over may leave."""
+    """The attempts of all teams that this node owns, as status updates and released machines change them."""
 
     def __init__(
         self,
         context: NodeContext,
-        ownership: Ownership,
-        store: StateClient,
-        job_index: JobIndex,
-        mesh: Mesh,
         teams: dict[str, TeamState],
+        index: AttemptIndex,
+        stop_commands: StopCommands,
+        commits: Commits,
+        job_cleanup: JobCleanup,
+        wake_scheduler: Callable[[], Any],
     ) -> None:
-        """Attempts of the jobs in `homes`; what has to be on record goes by `commits`."""
+        """Attempts of the jobs in `teams`; `wake_scheduler` is called when tasks wait again or capacity is free."""
         self._effects = context.effects
         self._policy = context.policy
-        self._ownership = ownership
-        self._mesh = mesh
-        self._workers = context.workers
         self._teams = teams
-        self.on_machine: dict[str, set[tuple[str, str, int]]] = {}  # machine -> (team, job, index)
-        self.commits = Commits(context, store, job_index, teams, self)
-        self.wake_scheduler: Callable[[], Any] = lambda: None  # there may be something to place
-        self.reconcile: Callable[[TeamState], Any] = lambda _home: None  # ask what is on the machines of a home
+        self._index = index
+        self._stop_commands = stop_commands
+        self._commits = commits
+        self._job_cleanup = job_cleanup
+        self._wake_scheduler = wake_scheduler
+        self._backoff = FailureBackoff(context)
 
-    # -- the index of what may be on which machine
-
-    def index_attempt(self, team_state: TeamState, job: Job, attempt: Attempt) -> None:
-        """An attempt is on record: news of its machine that lack it are compared with what they prove."""
-        self.on_machine.setdefault(attempt.machine, set()).add((team_state.name, job.id, attempt.index))
-
-    def unindex_attempt(self, team_state: TeamState, job: Job, attempt: Attempt) -> None:
-        """An attempt is off its machine, or its home is not ours any more."""
-        placed = self.on_machine.get(attempt.machine)
-        if placed is not None:
-            placed.discard((team_state.name, job.id, attempt.index))
-            if not placed:
-                del self.on_machine[attempt.machine]
-
-    # -- what happens to attempts
+    # -- status updates
 
     def on_status_update(self, update: wire.StatusUpdate) -> None:
-        """What a part's owner says of a machine. Older sayings that come late are passed over."""
+        """Take what a partition's owner reports of a machine. Updates that arrive out of order are ignored."""
         team_state = self._teams.get(update.team)
         if team_state is None or not team_state.ready:
             return
         order = (update.token, update.sequence)
-        if order <= team_state.latest_updates.get(update.machine, (0, 0)):
+        if order <= team_state.latest_updates.get(update.machine, NO_UPDATE):
             return
         team_state.latest_updates[update.machine] = order
-        team_state.stray_machines.pop(update.machine, None)
+        team_state.machines_with_orphans.pop(update.machine, None)
         stops: list[wire.TaskStop] = []
-        shown = self._match_observed(team_state, update, stops)
-        for team, job_id, index in sorted(self.on_machine.get(update.machine, ())):
-            if team != update.team:
-                continue
-            job = team_state.jobs.get(job_id)
-            attempt = job.attempts.get(index) if job else None
-            if job is None or attempt is None or attempt.machine != update.machine or (job_id, index) in shown:
-                continue
-            if self._proves_absence(attempt, update):
-                log.debug("%s/%d attempt %d is off %s", job_id, index, attempt.number, attempt.machine)
-                self._on_off_machine(team_state, job, attempt)
-        self._send_stops(team_state, update.zone, stops)
+        observed = self._match_observed(team_state, update, stops)
+        for job, attempt in self._index.find(update.machine, team_state):
+            if (job.id, attempt.index) not in observed and self._proves_absence(attempt, update):
+                log.debug("%s/%d attempt %d is off %s", job.id, attempt.index, attempt.number, attempt.machine)
+                self.on_absent(team_state, job, attempt)
+        self._stop_commands.send(team_state, update.zone, stops)
 
     def _match_observed(
         self, team_state: TeamState, update: wire.StatusUpdate, stops: list[wire.TaskStop]
     ) -> set[tuple[str, int]]:
-        """Take what is on a machine; which of our tasks it is shown to have, and into `stops` what must go."""
-        shown: set[tuple[str, int]] = set()
+        """Take each task observed on a machine, and add to `stops` what must go.
+
+        Gives the tasks, by job and index, whose recorded attempts were among them.
+        """
+        matched: set[tuple[str, int]] = set()
         for observed in update.tasks:
             job = team_state.jobs.get(observed.job)
             attempt = job.attempts.get(observed.index) if job else None
@@ -107,28 +87,19 @@
                 and attempt.number == observed.attempt
                 and attempt.machine == update.machine
             ):
-                shown.add((observed.job, observed.index))
+                matched.add((observed.job, observed.index))
                 self._on_observed(team_state, job, attempt, observed, stops)
-            elif observed.status == TaskStatus.EXITED:
-                if job is not None and observed.cause == ExitCause.DONE and job.spec is not None:
-                    # An attempt given up earlier did finish: its result is kept, so the task is done.
-                    self._on_stray_done(job, observed, update, stops)
-                else:
-                    stops.append(
-                        wire.TaskStop(update.machine, observed.job, observed.index, observed.attempt, wire.FORGET)
-                    )
-            elif observed.status != wire.LAUNCHING:
-                # The kill may be lost on its way: the machine is looked at until it is rid of the task.
-                team_state.stray_machines[update.machine] = update.zone
-                stops.append(wire.TaskStop(update.machine, observed.job, observed.index, observed.attempt, AT_ONCE))
-        return shown
+            else:
+                self._on_orphan(team_state, job, observed, update, stops)
+        return matched
 
     @staticmethod
     def _proves_absence(attempt: Attempt, update: wire.StatusUpdate) -> bool:
-        """Whether news that lack an attempt prove that it is not on the machine and can't come there.
+        """Whether an update that lacks an attempt proves that it is not on the machine and can't come there.
 
-        A later shift has killed it. A later owner's token shuts out every launch under the earlier one. The
-        same owner must have spoken after it took (or can no longer take) our launch.
+        A later session of the machine has stopped it. A later owner's token shuts out every launch under the earlier
+        one. The same owner must have sent the update after it answered our launch, or after the launch could no
+        longer reach it (see `Reconciliation`): before that, the launch may still be on its way.
         """
         if update.session > attempt.session or update.token > attempt.partition_token:
             return True
@@ -139,180 +110,120 @@
         )
 
     def _on_observed(
-        self, team_state: TeamState, job: Job, attempt: Attempt, observed: wire.ObservedTask, stops: list[wire.TaskStop]
+        self,
+        team_state: TeamState,
+        job: Job,
+        attempt: Attempt,
+        observed: wire.ObservedTask,
+        stops: list[wire.TaskStop],
     ) -> None:
-        """An attempt is on its machine, or has ended there."""
-        if observed.status != TaskStatus.EXITED:
-            if observed.status != wire.LAUNCHING:
-                attempt.status = observed.status
-            if job.spec is None and not attempt.stopping:
-                attempt.stopping = True
-                stops.append(wire.TaskStop(attempt.machine, job.id, attempt.index, attempt.number, AT_ONCE))
+        """A recorded attempt is on its machine, or has ended there."""
+        if observed.status == TaskStatus.EXITED:
+            self._on_exited(team_state, job, attempt, observed.cause, stops)
             return
+        if observed.status != wire.LAUNCHING:
+            attempt.status = observed.status
+        if job.spec is None and not attempt.stopping:
+            attempt.stopping = True
+            stops.append(wire.TaskStop(attempt.machine, job.id, attempt.index, attempt.number, AT_ONCE))
+
+    def _on_exited(
+        self, team_state: TeamState, job: Job, attempt: Attempt, cause: str | None, stops: list[wire.TaskStop]
+    ) -> None:
         now = self._effects.now()
         self._remove(team_state, job, attempt)
-        if observed.cause == ExitCause.DONE and job.spec is not None:
-            if attempt.estimate is not None:
-                self._learn_feedback(team_state, attempt.zone, attempt.estimate, now)
-            job.mark_done(attempt.index)
-            job.failures = 0
-            # The outcome first, durably; then `clear`.
-            job.to_forget.append((attempt.zone, attempt.machine, attempt.index, attempt.number))
-            self.commits.mark_deferrable(job, now)
-            if job.finished:
-                self.commits.schedule_commit()
-            self.wake_scheduler()
+        if cause == ExitCause.DONE and job.spec is not None:
+            self._on_completed(team_state, job, attempt, now)
             return
         if job.spec is not None:
-            self._on_failed_attempt(job, attempt, observed.cause, now)
-            job.return_task(attempt.index, now)
-            self._restart_gang(team_state, job)
-            self.wake_scheduler()
-        self.end_if_unassigned(team_state, job)
+            self._backoff.on_failed_attempt(job, attempt, cause, now)
+            self._reschedule(team_state, job, attempt, now)
+        self._job_cleanup.remove_if_unassigned(team_state, job)
         stops.append(wire.TaskStop(attempt.machine, job.id, attempt.index, attempt.number, wire.FORGET))
 
-    def _on_failed_attempt(self, job: Job, attempt: Attempt, cause: str | None, now: float) -> None:
-        """A task failed, or its worker did not take it: when the job's next tasks may start."""
-        if cause == ExitCause.ERROR:
-            job.record_failure(attempt.machine)
-            if job.failing:
-                steps = min(job.failures - PATIENT_FAILURES, MOST_BACKOFF_STEPS)
-                pause = self._workers.report_s * 2**steps
-                job.not_before = now + pause * (0.75 + 0.5 * self._effects.rng.random())
-            log.debug("%s/%d failed on %s", job.id, attempt.index, attempt.machine)
-            if job.failures == PATIENT_FAILURES:  # once, however often it fails from now on
-                log.info("%s: %d tasks failed and none is done: tried one at a time", job.id, job.failures)
-        elif cause in (ExitCause.FULL, ExitCause.BUSY, ExitCause.UNKNOWN):
-            log.info("%s/%d refused by %s: %s", job.id, attempt.index, attempt.machine, cause)
-            job.not_before = max(job.not_before, now + self._workers.report_s / 2)
+    def _on_completed(self, team_state: TeamState, job: Job, attempt: Attempt, now: float) -> None:
+        """An attempt did its task: the outcome is made durable first, and only then may the worker forget it."""
+        if attempt.estimate is not None:
+            self._learn_feedback(team_state, attempt.zone, attempt.estimate, now)
+        job.mark_done(attempt.index)
+        job.failures = 0
+        job.to_forget.append((attempt.zone, attempt.machine, attempt.index, attempt.number))
+        self._commits.mark_deferrable(job, now)
+        if job.finished:
+            self._commits.schedule_commit()
+        self._wake_scheduler()
+
+    def _learn_feedback(self, team_state: TeamState, zone: str, estimate: PlacementEstimate, now: float) -> None:
+        factor = team_state.factors.setdefault(zone, Feedback(now))
+        factor.finish(estimate, now, self._policy.value("feedback"))
+
+    # -- observed tasks that no recorded attempt matches
+
+    def _on_orphan(
+        self,
+        team_state: TeamState,
+        job: Job | None,
+        observed: wire.ObservedTask,
+        update: wire.StatusUpdate,
+        stops: list[wire.TaskStop],
+    ) -> None:
+        """A machine has an attempt that is no longer on record: it is stopped, or forgotten when it has ended."""
+        if observed.status == TaskStatus.EXITED:
+            if job is not None and observed.cause == ExitCause.DONE and job.spec is not None:
+                self._on_late_completion(job, observed, update, stops)
+            else:
+                stops.append(wire.TaskStop(update.machine, observed.job, observed.index, observed.attempt, wire.FORGET))
+        elif observed.status != wire.LAUNCHING:
+            # The stop may be lost on its way: the machine is reconciled until it is rid of the task.
+            team_state.machines_with_orphans[update.machine] = update.zone
+            stops.append(wire.TaskStop(update.machine, observed.job, observed.index, observed.attempt, AT_ONCE))
 
-    def _on_stray_done(
+    def _on_late_completion(
         self, job: Job, observed: wire.ObservedTask, update: wire.StatusUpdate, stops: list[wire.TaskStop]
     ) -> None:
-        """A task was done by an attempt that had been given up: the one that took its place is stopped."""
+        """An attempt that had been given up did its task: the result counts, the attempt in its place is stopped."""
         if observed.index < job.task_count and not job.done[observed.index]:
             job.mark_done(observed.index)
             current = job.attempts.get(observed.index)
             if current is not None:
                 stops.append(wire.TaskStop(current.machine, job.id, current.index, current.number, AT_ONCE))
-            self.commits.mark_deferrable(job, self._effects.now())
+            self._commits.mark_deferrable(job, self._effects.now())
         job.to_forget.append((update.zone, update.machine, observed.index, observed.attempt))
-        self.commits.schedule_commit()
+        self._commits.schedule_commit()
 
-    def _learn_feedback(self, team_state: TeamState, zone: str, placed: PlacementEstimate, now: float) -> None:
-        factor = team_state.factors.setdefault(zone, Feedback(now))
-        factor.finish(placed, now, self._policy.value("feedback"))
-
-    def _remove(self, team_state: TeamState, job: Job, attempt: Attempt) -> None:
-        """The attempt is certainly not on its machine any more."""
-        del job.attempts[attempt.index]
-        job.dirty_chunks.add(attempt.chunk)
-        self.unindex_attempt(team_state, job, attempt)
-        self.commits.proved_off.setdefault(job.id, set()).add((attempt.index, attempt.number))
+    # -- attempts that are off their machines
 
-    def _on_off_machine(self, team_state: TeamState, job: Job, attempt: Attempt) -> None:
+    def on_absent(self, team_state: TeamState, job: Job, attempt: Attempt) -> None:
+        """An attempt is certainly not on its machine, and how it ended is not known: its task waits again."""
         now = self._effects.now()
         self._remove(team_state, job, attempt)
-        self.commits.mark_deferrable(job, now)
+        self._commits.mark_deferrable(job, now)
         if job.spec is not None:
-            job.return_task(attempt.index, now)
-            self._restart_gang(team_state, job)
-            self.wake_scheduler()
-        self.end_if_unassigned(team_state, job)
-
-    def _restart_gang(self, team_state: TeamState, job: Job) -> None:
-        """A gang that lost a task can't go on: the rest is stopped, and all of it is placed anew."""
-        if job.gang and job.attempts:
-            self.stop_all(team_state, job)
+            self._reschedule(team_state, job, attempt, now)
+        self._job_cleanup.remove_if_unassigned(team_state, job)
 
     def on_machines_released(self, machines: list[str]) -> None:
         """The cloud has taken these machines, with all that was on them."""
-        for name in machines:
+        for machine in machines:
             for team_state in self._teams.values():
-                team_state.latest_updates.pop(name, None)
-                team_state.stray_machines.pop(name, None)
-            for team, job_id, index in sorted(self.on_machine.get(name, ())):
-                owned = self._teams.get(team)
-                job = owned.jobs.get(job_id) if owned else None
-                attempt = job.attempts.get(index) if job else None
-                if owned is not None and job is not None and attempt is not None and attempt.machine == name:
-                    self._on_off_machine(owned, job, attempt)
-
-    def stop_all(self, team_state: TeamState, job: Job) -> None:
-        """Kill whatever a terminal job may still have on machines."""
-        zones: dict[str, list[wire.TaskStop]] = {}
-        for attempt in job.attempts.values():
-            zones.setdefault(attempt.zone, []).append(
-                wire.TaskStop(attempt.machine, job.id, attempt.index, attempt.number, AT_ONCE)
-            )
-        for zone, items in zones.items():
-            self._send_stops(team_state, zone, items)
-
-    def _send_stops(self, team_state: TeamState, zone: str, items: list[wire.TaskStop]) -> None:
-        owner = self._ownership.owner(partition_key(zone))
-        if owner is not None and items:
-            self._mesh.send(owner, wire.StopRequest(zone, team_state.name, team_state.token, items))
-
-    def forget_finished(self, team_state: TeamState, job: Job) -> None:
-        """Have workers forget tasks whose outcome is on record: before, a repeat would start them anew."""
-        zones: dict[str, list[wire.TaskStop]] = {}
-        for zone, machine, index, number in job.to_forget:
-            zones.setdefault(zone, []).append(wire.TaskStop(machine, job.id, index, number, wire.FORGET))
-        job.to_forget.clear()
-        for zone, items in zones.items():
-            self._send_stops(team_state, zone, items)
-
-    # -- launches
-
-    def launch(self, team_state: TeamState, zone: str, attempts: list[tuple[str, Attempt]]) -> None:
-        """Start attempts of a zone, by job, that are on record. A launch that is lost is settled by a look."""
-        now = self._effects.now()
-        by_token: dict[int, list[tuple[str, Attempt]]] = {}
-        for job_id, attempt in attempts:
-            job = team_state.jobs.get(job_id)
-            if job is not None and job.attempts.get(attempt.index) is attempt:
-                # Its reservation was made before now, so it has expired by then on any clock.
-                attempt.launch_expires_at = now + 1.01 * self._workers.lease_s / 4 + 0.1
-                by_token.setdefault(attempt.partition_token, []).append((job_id, attempt))
-        owner = self._ownership.owner(partition_key(zone))
-        if owner is None:
-            return  # the next look settles it
-        for token, items in by_token.items():
-            starts = [wire.TaskStart(a.reservation_id, job_id, a.index, a.number) for job_id, a in items]
-            self._mesh.call(
-                owner,
-                wire.LaunchRequest(zone, token, team_state.name, team_state.token, starts),
-                self._workers.report_s,
-                partial(self._launched, team_state, items),
-            )
+                team_state.latest_updates.pop(machine, None)
+                team_state.machines_with_orphans.pop(machine, None)
+            for team_state, job, attempt in self._index.find_all(machine, self._teams):
+                self.on_absent(team_state, job, attempt)
 
-    def _launched(self, team_state: TeamState, items: list[tuple[str, Attempt]], reply: Any) -> None:
-        if self._teams.get(team_state.name) is not team_state or not isinstance(reply, wire.LaunchReply):
-            return
-        refused = set(reply.refused)
-        for job_id, attempt in items:
-            job = team_state.jobs.get(job_id)
-            if job is None or job.attempts.get(attempt.index) is not attempt:
-                continue
-            if attempt.reservation_id in refused:
-                log.debug("%s/%d: launch refused", job_id, attempt.index)
-                self._on_off_machine(team_state, job, attempt)
-            else:
-                attempt.acknowledged_sequence = reply.sequence
-
-    # -- ends
+    def _remove(self, team_state: TeamState, job: Job, attempt: Attempt) -> None:
+        """Drop an attempt that is certainly not on its machine any more."""
+        del job.attempts[attempt.index]
+        job.dirty_chunks.add(attempt.chunk)
+        self._index.remove(team_state, job, attempt)
+        self._commits.proved_off.setdefault(job.id, set()).add((attempt.index, attempt.number))
 
-    def end_if_unassigned(self, team_state: TeamState, job: Job) -> None:
-        """A terminal job leaves once none of its tasks may be on a machine."""
-        if job.spec is None and not job.attempts and job.write_state is WriteState.SETTLED:
-            if job.chunk_revisions:
-                self.commits.schedule_commit()
-            else:
-                self._end_job(team_state, job)
+    def _reschedule(self, team_state: TeamState, job: Job, attempt: Attempt, now: float) -> None:
+        """The task of an ended attempt waits again.
 
-    def _end_job(self, team_state: TeamState, job: Job) -> None:
-        for attempt in list(job.attempts.values()):
-            self.unindex_attempt(team_state, job, attempt)
-        self.forget_finished(team_state, job)
-        team_state.jobs.pop(job.id, None)
-        self.commits.proved_off.pop(job.id, None)
+        A gang that lost a task can't go on: the rest is stopped, and all of it is placed anew.
+        """
+        job.return_task(attempt.index, now)
+        if job.gang and job.attempts:
+            self._stop_commands.stop_all(team_state, job)
+        self._wake_scheduler()
--- /dev/null
+++ b/tealhook/scheduling/launches.py
@@ -0,0 +1,81 @@
+"""Launches: attempts that are on record are started on the reservations made for them."""
+
+from __future__ import annotations
+
+import logging
+from collections.abc import Callable
+from functools import partial
+from typing import Any
+
+from tealhook.context import NodeContext
+from tealhook.coordination import Ownership, partition_key
+from tealhook.jobs.job import Attempt, Job
+from tealhook.jobs.team import TeamState
+from tealhook.mesh import Mesh
+from tealhook.wire import mesh as wire
+
+log = logging.getLogger(__name__)
+
+RESERVATION_LEASES = 0.25  # a reservation expires after this share of a lease
+CLOCK_RATE_MARGIN = 1.01  # clocks of two machines may run at rates that differ by less than this
+EXPIRY_MARGIN_S = 0.1  # added to an expiry that another machine counts
+
+
+class Launches:
+    """Launches of attempts of the teams that this node owns.
+
+    A lost launch, or a lost reply, is settled by reconciliation.
+    """
+
+    def __init__(
+        self,
+        context: NodeContext,
+        ownership: Ownership,
+        mesh: Mesh,
+        teams: dict[str, TeamState],
+        on_refused: Callable[[TeamState, Job, Attempt], Any],
+    ) -> None:
+        """For the jobs in `teams`; `on_refused` is told of each attempt that can't come to its machine."""
+        self._effects = context.effects
+        self._workers = context.workers
+        self._ownership = ownership
+        self._mesh = mesh
+        self._teams = teams
+        self._on_refused = on_refused
+
+    def launch(self, team_state: TeamState, zone: str, attempts: list[tuple[str, Attempt]]) -> None:
+        """Start attempts of a zone, by job, that are on record."""
+        now = self._effects.now()
+        reservation_s = RESERVATION_LEASES * self._workers.lease_s
+        attempts_by_token: dict[int, list[tuple[str, Attempt]]] = {}
+        for job_id, attempt in attempts:
+            job = team_state.jobs.get(job_id)
+            if job is not None and job.attempts.get(attempt.index) is attempt:
+                # Its reservation was made before now, so it has expired by then on any clock.
+                attempt.launch_expires_at = now + CLOCK_RATE_MARGIN * reservation_s + EXPIRY_MARGIN_S
+                attempts_by_token.setdefault(attempt.partition_token, []).append((job_id, attempt))
+        owner = self._ownership.owner(partition_key(zone))
+        if owner is None:
+            return  # the next reconciliation settles it
+        for token, launched in attempts_by_token.items():
+            starts = [wire.TaskStart(a.reservation_id, job_id, a.index, a.number) for job_id, a in launched]
+            self._mesh.call(
+                owner,
+                wire.LaunchRequest(zone, token, team_state.name, team_state.token, starts),
+                self._workers.report_s,
+                partial(self._on_launch_reply, team_state, launched),
+            )
+
+    def _on_launch_reply(self, team_state: TeamState, launched: list[tuple[str, Attempt]], reply: Any) -> None:
+        if self._teams.get(team_state.name) is not team_state or not isinstance(reply, wire.LaunchReply):
+            return
+        refused = set(reply.refused)
+        for job_id, attempt in launched:
+            job = team_state.jobs.get(job_id)
+            if job is None or job.attempts.get(attempt.index) is not attempt:
+                continue
+            if attempt.reservation_id in refused:
+                log.debug("%s/%d: launch refused", job_id, attempt.index)
+                self._on_refused(team_state, job, attempt)
+            else:
+                attempt.acknowledged_sequence = reply.sequence
--- a/tealhook/scheduling/team_scheduler.py
+++ b/tealhook/scheduling/team_scheduler.py
@@ -1,56 +1,60 @@
-"""Homes: the owner of a team's home runs all of that team's jobs.
+"""The scheduler of the teams that a node owns: the owner of a team runs all of that team's jobs.
 
-Order of a placement: inquire at the parts, choose by min-min, reserve at the part, make the assignment
-durable under the home's and the part's ownership and the job's stamp, then launch. Order of an end: a report
-shows it, or the attempt is provably off its machine; never a time-out alone.
+Order of a placement: inquire at the partitions, choose by min-min, reserve at the partition, make the assignment
+durable under the team's and the partition's ownership and the job's revision, then launch. Order of an end: a report
+shows it, or the attempt is provably off its machine; never a timeout alone.
 """
 
 from __future__ import annotations
 
 import logging
-from collections.abc import Callable
-from functools import partial
 
 from tealhook.context import NodeContext
 from tealhook.coordination import Ownership
-from tealhook.jobs.index import JobEntry, JobIndex, JobRecord
-from tealhook.jobs.job import Job, assignment_key, parse_assignment_key
-from tealhook.jobs.records import JobRecords
+from tealhook.jobs.index import JobEntry, JobIndex
+from tealhook.jobs.job import Attempt, Job
 from tealhook.jobs.team import TeamState
 from tealhook.loop.effects import every
 from tealhook.mesh import Mesh
-from tealhook.scheduling import demand
+from tealhook.scheduling.attempt_index import AttemptIndex
 from tealhook.scheduling.attempts import Attempts
+from tealhook.scheduling.commits import Commits
 from tealhook.scheduling.cycle import SchedulingCycle
+from tealhook.scheduling.demand import TeamDemand
 from tealhook.scheduling.dependencies import DependencyTracker
+from tealhook.scheduling.job_building import JobBuilder
+from tealhook.scheduling.job_cleanup import JobCleanup
+from tealhook.scheduling.launches import Launches
 from tealhook.scheduling.reconciliation import Reconciliation
+from tealhook.scheduling.stop_commands import StopCommands
+from tealhook.scheduling.team_recovery import TeamRecovery
 from tealhook.state_store import StateClient
 from tealhook.wire import mesh as wire
-from tealhook.wire import state as state_wire
 
-log = logging.getLogger("tealhook.jobs")
+log = logging.getLogger(__name__)
 
-AHEAD_BOOTS = 2.0  # so long before its release a job's demand for ordinary machines counts: some boots take longer
-OVERDUE_BOOTS = 4.0  # so long it goes on to count when the release does not come
+RECONCILIATIONS_PER_LEASE = 6
 
 
 class TeamScheduler:
-    """All homes that this node owns."""
+    """All teams that this node owns.
+
+    It builds the components that schedule them and connects them. For `Commits` it is the `AttemptObserver`: it passes
+    on to them what became durable.
+    """
 
     def __init__(
         self, context: NodeContext, ownership: Ownership, store: StateClient, job_index: JobIndex, mesh: Mesh
     ) -> None:
-        """No home yet: `owned` tells of each that comes or goes."""
+        """No team yet: `on_ownership_change` tells of each that this node gains or loses."""
         self._effects = context.effects
-        self._store = store
         self._job_index = job_index
-        self._records = JobRecords(context, store, job_index)
         self._workers = context.workers
-        self._policy = context.policy
         self._team_settings = {team.name: team for team in context.settings.params.teams}
         self.teams: dict[str, TeamState] = {}
-        self.attempts = Attempts(context, ownership, store, job_index, mesh, self.teams)
-        self.commits = self.attempts.commits
+        # Commits and attempts need each other: `Commits` calls its observer from timers and replies alone, hence never
+        # before all that follows is built.
+        self.commits = Commits(context, store, job_index, self.teams, self)
         self.cycle = SchedulingCycle(
             context,
             ownership,
@@ -61,187 +65,152 @@
             lambda: self.commits.is_backlogged,
             self.commits.schedule_commit,
         )
-        self.pipelines = DependencyTracker(context, store, job_index, self.teams)
-        self._reconciliation = Reconciliation(context, ownership, mesh, self.teams, self.attempts)
-        self.attempts.wake_scheduler = self.cycle.wake
-        self.attempts.reconcile = self._reconciliation.reconcile
-        # What the owners of the parts and of the fleet say of machines.
-        self.on_status_update = self.attempts.on_status_update
-        self.on_machines_released = self.attempts.on_machines_released
-        every(context.effects, self._workers.lease_s / 6, self._reconcile_all)
+        self._attempt_index = AttemptIndex()
+        self._stop_commands = StopCommands(ownership, mesh)
+        self._job_cleanup = JobCleanup(self._attempt_index, self._stop_commands, self.commits)
+        self._attempts = Attempts(
+            context,
+            self.teams,
+            self._attempt_index,
+            self._stop_commands,
+            self.commits,
+            self._job_cleanup,
+            self.cycle.wake,
+        )
+        self._launches = Launches(context, ownership, mesh, self.teams, self._attempts.on_absent)
+        self._reconciliation = Reconciliation(context, ownership, mesh, self.teams, self._attempt_index)
+        self._dependencies = DependencyTracker(context, store, job_index, self.teams)
+        self._job_builder = JobBuilder(context, job_index, self._dependencies.schedule_check)
+        self._recovery = TeamRecovery(context, store, job_index, self.teams, self._job_builder, self._on_team_recovered)
+        self._demand = TeamDemand(context, job_index, self.teams)
+        every(context.effects, self._workers.lease_s / RECONCILIATIONS_PER_LEASE, self._reconcile_all)
         every(context.effects, self._workers.report_s, self._periodic_cleanup)
 
     # -- ownership
 
     def on_ownership_change(self, team: str, token: int | None) -> None:
-        """Ownership of a home came or went."""
+        """This node gained a team under a fencing token, or lost it; gained anew, it is read from its records."""
         team_state = self.teams.pop(team, None)
         if team_state is not None:
             for job in team_state.jobs.values():
                 for attempt in job.attempts.values():
-                    self.attempts.unindex_attempt(team_state, job, attempt)
-        if token is not None and team in self._team_settings:
+                    self._attempt_index.remove(team_state, job, attempt)
+        settings = self._team_settings.get(team)
+        if token is not None and settings is not None:
             team_state = self.teams[team] = TeamState(team, token)
-            settings = self._team_settings[team]
-            team_state.guarantee, team_state.limit, team_state.gpus_limit = (
-                settings.cpus,
-                settings.cpus_max,
-                settings.gpus_max,
-            )
-            self._load(team_state)
-
-    def _load(self, team_state: TeamState) -> None:
-        """Read the durable records of the team, all of them, before anything is decided."""
-        if self.teams.get(team_state.name) is not team_state:
-            return
-        if not self._job_index.synced:
-            self._effects.later(0.05, lambda: self._load(team_state))
-            return
-
-        def done(rows: list[state_wire.KeyValue] | None, _epoch: int) -> None:
-            if self.teams.get(team_state.name) is not team_state:
-                return
-            if rows is None:
-                self._effects.later(0.2 + 0.2 * self._effects.rng.random(), lambda: self._load(team_state))
-                return
-            self._read_unknown(
-                team_state, {parse_assignment_key(row.key, team_state.name)[0] for row in rows}, lambda: take(rows)
-            )
+            team_state.guarantee = settings.cpus
+            team_state.limit = settings.cpus_max
+            team_state.gpus_limit = settings.gpus_max
+            self._recovery.recover(team_state)
 
-        def take(rows: list[state_wire.KeyValue]) -> None:
-            if self.teams.get(team_state.name) is team_state:
-                self._take_over(team_state, rows)
-
-        self._store.list(assignment_key(team_state.name, ""), done)
-
-    def _take_over(self, team_state: TeamState, rows: list[state_wire.KeyValue]) -> None:
-        """All records of a home are read: go on with its jobs where its former owner stopped."""
+    def _on_team_recovered(self, team_state: TeamState) -> None:
+        """All jobs of a team are rebuilt: go on where its former owner stopped."""
         now = self._effects.now()
-        self._load_jobs(team_state, rows, now)
         for job in team_state.jobs.values():
             for attempt in job.attempts.values():
-                self.attempts.index_attempt(team_state, job, attempt)
-        for job_id, known in self._job_index.active.items():
-            if known.team == team_state.name and job_id not in team_state.jobs:
-                team_state.jobs[job_id] = self._job(team_state, job_id, now)
-                team_state.jobs[job_id].loaded = True
+                self._attempt_index.add(team_state, job, attempt)
         team_state.ready = True
-        log.info("home %s: %d jobs", team_state.name, len(team_state.jobs))
+        log.info("team %s: recovered %d jobs", team_state.name, len(team_state.jobs))
         for job in team_state.jobs.values():
             if job.spec is None:
                 job.ended_since = now - self._job_index.seconds_since_cancelled(job.id)
-                self.attempts.stop_all(team_state, job)
+                self._stop_commands.stop_all(team_state, job)
         self._reconciliation.reconcile(team_state)
         self.cycle.wake()
 
-    def _load_jobs(self, team_state: TeamState, rows: list[state_wire.KeyValue], now: float) -> None:
-        """Jobs as their records say; a record that can't be read is passed over."""
-        for row in rows:
-            job_id, chunk = parse_assignment_key(row.key, team_state.name)
-            job = team_state.jobs.get(job_id) or self._job(team_state, job_id, now)
-            try:
-                job.load(chunk, row.value, row.mod_revision, now)
-            except ValueError as exc:
-                log.error("%s", exc)
-                continue
-            team_state.jobs[job_id] = job
-
-    def _read_unknown(self, team_state: TeamState, jobs: set[str], then: Callable[[], None]) -> None:
-        """Read the records of jobs that our view lacks: it may be older than our claim.
-
-        A job that is not known was once taken for ended: its tasks were stopped, and its record was dropped with what
-        was done of it and the attempts given out.
-        """
-        unknown = sorted(job for job in jobs if self._job_index.status(job) is None)
-        if not unknown:
-            then()
-            return
-        waited = set(unknown)
-
-        def read(job: str, kind: str, record: JobRecord | None, version: int) -> None:
-            if self.teams.get(team_state.name) is not team_state:
-                return
-            if record is not None:
-                self._job_index.apply_record(job, record, version)
-            elif kind == "unknown":
-                self._effects.later(0.2 + 0.2 * self._effects.rng.random(), lambda: ask(job))
-                return
-            waited.discard(job)
-            if not waited:
-                then()
-
-        def ask(job: str) -> None:
-            if self.teams.get(team_state.name) is team_state:
-                self._records.fetch(job, partial(read, job))
-
-        for job in unknown:
-            ask(job)
-
-    def _job(self, team_state: TeamState, job_id: str, now: float) -> Job:
-        """A job as the book knows it. Its age outlasts the processes that look after it."""
-        known = self._job_index.active.get(job_id)
-        job = Job(job_id, team_state.name, known, now)
-        if known is not None:
-            self._update_priority(job, known, now)
-            job.schedulable_since = job.waiting_since = self._released(known, now)
-            if known.blocked:
-                self.pipelines.schedule_check(job_id)
-        return job
-
-    def _released(self, known: JobEntry, now: float) -> float:
-        """When a job was accepted, or else when the last of those that it waited for was done."""
-        at = max(known.accepted_at, known.released_at)
-        return now - max(0.0, self._effects.wall() - at) if at > 0 else now
-
-    def _update_priority(self, job: Job, known: JobEntry, now: float) -> None:
-        job.priority = known.priority
-        job.deadline_at = now + known.deadline_at - self._effects.wall()
+    # -- job changes
 
     def on_job_changed(self, job_id: str) -> None:
-        """The book has news of a job: submitted, cancelled or done."""
+        """The job index has a change of a job: submitted, released, cancelled or done."""
         team = self._job_index.team_of(job_id)
         team_state = self.teams.get(team) if team else None
-        if team is None or team_state is None or not team_state.ready:
+        if team_state is None or not team_state.ready:
             return
         job = team_state.jobs.get(job_id)
-        known = self._job_index.active.get(job_id)
-        if known is not None:
-            if known.blocked:
-                self.pipelines.schedule_check(job_id)
-            if job is not None and job.spec is not None:
-                now = self._effects.now()
-                self._update_priority(job, known, now)
-                if job.blocked and not known.blocked:
-                    job.blocked = False
-                    job.schedulable_since = job.waiting_since = self._released(known, now)
-                    self.cycle.wake()
-            if job is None:
-                job = team_state.jobs[job_id] = self._job(team_state, job_id, self._effects.now())
-                job.loaded = True
+        entry = self._job_index.active.get(job_id)
+        if entry is not None:
+            self._on_active_job_changed(team_state, job_id, job, entry)
+        elif job is not None and job.spec is not None:
+            self._on_job_ended(team_state, job)
+
+    def _on_active_job_changed(self, team_state: TeamState, job_id: str, job: Job | None, entry: JobEntry) -> None:
+        if entry.blocked:
+            self._dependencies.schedule_check(job_id)
+        now = self._effects.now()
+        if job is None:
+            job = team_state.jobs[job_id] = self._job_builder.build(job_id, team_state.name, now)
+            job.loaded = True
+            self.cycle.wake()
+        elif job.spec is None:
+            log.error("%s is active, but was taken for ended: its team is recovered again", job_id)
+            self.on_ownership_change(team_state.name, team_state.token)
+        else:
+            self._job_builder.update_priority(job, entry, now)
+            if job.blocked and not entry.blocked:
+                job.blocked = False
+                job.schedulable_since = job.waiting_since = self._job_builder.schedulable_since(entry, now)
                 self.cycle.wake()
-            elif job.spec is None:
-                log.error("%s is active, but was taken for ended: its home is read anew", job_id)
-                self.on_ownership_change(team, team_state.token)
-            return
-        if job is not None and job.spec is not None:
-            job.spec = None  # terminal: nothing of it starts any more
-            job.ended_since = self._effects.now() - self._job_index.seconds_since_cancelled(job_id)
-            self.attempts.stop_all(team_state, job)
-            self.attempts.end_if_unassigned(team_state, job)
 
-    # -- looking after machines
+    def _on_job_ended(self, team_state: TeamState, job: Job) -> None:
+        job.spec = None  # terminal: nothing of it starts any more
+        job.ended_since = self._effects.now() - self._job_index.seconds_since_cancelled(job.id)
+        self._stop_commands.stop_all(team_state, job)
+        self._job_cleanup.remove_if_unassigned(team_state, job)
+
+    # -- machines
+
+    def on_status_update(self, update: wire.StatusUpdate) -> None:
+        """Take what a partition's owner reports of a machine."""
+        self._attempts.on_status_update(update)
+
+    def on_machines_released(self, machines: list[str]) -> None:
+        """The fleet's owner reports that the cloud has taken these machines, with all that was on them."""
+        self._attempts.on_machines_released(machines)
+
+    # -- outcomes of commits, as `AttemptObserver`
+
+    def index_attempt(self, team_state: TeamState, job: Job, attempt: Attempt) -> None:
+        """An attempt is on record: from now on it may be on its machine."""
+        self._attempt_index.add(team_state, job, attempt)
+
+    def launch(self, team_state: TeamState, zone: str, attempts: list[tuple[str, Attempt]]) -> None:
+        """Start attempts of a zone, by job, that are on record."""
+        self._launches.launch(team_state, zone, attempts)
+
+    def stop_all(self, team_state: TeamState, job: Job) -> None:
+        """Stop whatever a job may have on machines."""
+        self._stop_commands.stop_all(team_state, job)
+
+    def forget_finished(self, team_state: TeamState, job: Job) -> None:
+        """Have workers forget tasks whose outcome is on record."""
+        self._stop_commands.forget_finished(team_state, job)
+
+    def end_if_unassigned(self, team_state: TeamState, job: Job) -> None:
+        """Remove a job that is over once none of its tasks may be on a machine."""
+        self._job_cleanup.remove_if_unassigned(team_state, job)
+
+    def reconcile(self, team_state: TeamState) -> None:
+        """Ask the partitions' owners for what is on a team's machines."""
+        self._reconciliation.reconcile(team_state)
+
+    def wake_scheduler(self) -> None:
+        """Tasks may be placeable now."""
+        self.cycle.wake()
+
+    # -- periodic work
 
     def _reconcile_all(self) -> None:
         for team_state in list(self.teams.values()):
             if team_state.ready:
                 for job in team_state.jobs.values():
                     if job.spec is None:
-                        self.attempts.stop_all(team_state, job)  # a kill may have been lost on its way
+                        self._stop_commands.stop_all(team_state, job)  # a stop may have been lost on its way
                     elif job.blocked:
-                        self.pipelines.schedule_check(job.id)
+                        self._dependencies.schedule_check(job.id)
                 self._reconciliation.reconcile(team_state)
 
     def _periodic_cleanup(self) -> None:
+        """Let feedback of teams without waiting tasks fade, and write what need not be durable at once."""
         now = self._effects.now()
         for team_state in self.teams.values():
             waiting = any(job.waiting_count() > 0 for job in team_state.jobs.values())
@@ -250,32 +219,23 @@
                     factor.idle(now, self._workers.lease_s)
         self.commits.schedule_commit()
 
-    # -- what others want to know
+    # -- sums for gossip
 
     def progress(self) -> dict[str, tuple[int, int]]:
         """Tasks done and tasks running, by job."""
-        return demand.progress(self.teams)
+        return self._demand.progress()
 
     def usage(self) -> list[wire.TeamUsage]:
-        """CPUs that teams take, in all, for urgent jobs, and beyond their guarantees."""
-        return demand.usage(self.teams)
+        """CPUs that teams use: in all, for jobs above standard priority, and beyond their guarantees."""
+        return self._demand.usage()
 
     def demand(self) -> list[wire.Demand]:
-        """Waiting tasks by shape, no more than the team's limit lets run."""
-        return demand.demand(self.teams)
+        """Waiting tasks by their requirements, no more than the team's limit lets run."""
+        return self._demand.waiting()
 
-    def ordinary_demand(self) -> tuple[list[wire.Demand], list[wire.Demand]]:
+    def non_spot_demand(self) -> tuple[list[wire.Demand], list[wire.Demand]]:
         """Of jobs that may not use spot machines: tasks soon to be released, and tasks that have a machine."""
-        return demand.ordinary_demand(self.teams, self._released_soon)
-
-    def _released_soon(self, job: Job) -> bool:
-        """Whether a blocked job should be released so soon that a machine for it would have to be rented now.
-
-        Not one whose others take far longer than estimated: nobody knows how long yet, and idle machines are paid for.
-        """
-        left_s = self._job_index.expected_release_at(job.id) - self._effects.wall()
-        boot_s = self._policy.boot_s
-        return -OVERDUE_BOOTS * boot_s <= left_s <= AHEAD_BOOTS * boot_s
+        return self._demand.non_spot()
 
 
 __all__ = ["TeamScheduler", "TeamState"]
--- a/tests/test_cancellations.py
+++ b/tests/test_cancellations.py
@@ -40,7 +40,9 @@
 
 
 def test_to_count_silence_anew_with_each_owner_is_found_out(monkeypatch):
-    monkeypatch.setattr(Reconciliation, "_allowed_silence", lambda self, cancelled_s, silence_s, alone_s: silence_s)
+    monkeypatch.setattr(
+        Reconciliation, "_time_before_fencing", lambda self, cancelled_s, default_s, single_s: default_s
+    )
     with pytest.raises(Broken, match="ran_cancelled"):
         for seed in range(3):
             _hung_while_owners_change(seed)
--- a/tests/test_mistaken_jobs.py
+++ b/tests/test_mistaken_jobs.py
@@ -52,7 +52,7 @@
 
 
 def test_the_log_does_not_grow_with_the_number_of_failures(caplog):
-    with caplog.at_level(logging.INFO, logger="tealhook.jobs"):
+    with caplog.at_level(logging.INFO, logger="tealhook"):
         _world, jobs = _run(4, 2)
     for job in jobs:
         assert sum(job in record.getMessage() for record in caplog.records) == 1
