--- a/tealhook/scheduling/attempt_index.py
+++ b/tealhook/scheduling/attempt_index.py
@@ -3,6 +3,7 @@
 from __future__ import annotations
 
 from collections.abc import Iterator, Mapping
+from collections.abc import Set as AbstractSet
 from typing import NamedTuple
 
 from tealhook.jobs.job import Attempt, Job
@@ -17,6 +18,9 @@
     task_index: int
 
 
+NO_KEYS: frozenset[TaskKey] = frozenset()
+
+
 class AttemptIndex:
     """The attempts on record of all teams that this node owns, by machine.
 
@@ -41,9 +45,13 @@
             if not keys:
                 del self._keys_by_machine[attempt.machine]
 
-    def find(self, machine: str, team_state: TeamState) -> Iterator[tuple[Job, Attempt]]:
-        """A team's attempts on a machine, with their jobs."""
-        for key in sorted(self._keys_by_machine.get(machine, ())):
+    def find(
+        self, machine: str, team_state: TeamState, excluded: AbstractSet[TaskKey] = NO_KEYS
+    ) -> Iterator[tuple[Job, Attempt]]:
+        """A team's attempts on a machine, with their jobs, except for those at the tasks in `excluded`."""
+        # Excluded before they are sorted: a status update usually shows every attempt on its machine.
+        keys = self._keys_by_machine.get(machine, NO_KEYS) - excluded
+        for key in sorted(keys):
             if key.team == team_state.name:
                 found = _resolve(key, machine, team_state)
                 if found is not None:
@@ -51,7 +59,7 @@
 
     def find_all(self, machine: str, teams: Mapping[str, TeamState]) -> Iterator[tuple[TeamState, Job, Attempt]]:
         """The attempts of all `teams` on a machine, with their teams and jobs."""
-        for key in sorted(self._keys_by_machine.get(machine, ())):
+        for key in sorted(self._keys_by_machine.get(machine, NO_KEYS)):
             team_state = teams.get(key.team)
             found = _resolve(key, machine, team_state) if team_state is not None else None
             if team_state is not None and found is not None:
--- a/tealhook/scheduling/attempts.py
+++ b/tealhook/scheduling/attempts.py
@@ -13,7 +13,7 @@
 from tealhook.jobs.job import Attempt, Job
 from tealhook.jobs.team import TeamState
 from tealhook.placement import Feedback, PlacementEstimate
-from tealhook.scheduling.attempt_index import AttemptIndex
+from tealhook.scheduling.attempt_index import AttemptIndex, TaskKey
 from tealhook.scheduling.commits import Commits
 from tealhook.scheduling.failure_backoff import FailureBackoff
 from tealhook.scheduling.job_cleanup import JobCleanup
@@ -64,20 +64,20 @@
         team_state.machines_with_orphans.pop(update.machine, None)
         stops: list[wire.TaskStop] = []
         observed = self._match_observed(team_state, update, stops)
-        for job, attempt in self._index.find(update.machine, team_state):
-            if (job.id, attempt.index) not in observed and self._proves_absence(attempt, update):
+        for job, attempt in self._index.find(update.machine, team_state, observed):
+            if self._proves_absence(attempt, update):
                 log.debug("%s/%d attempt %d is off %s", job.id, attempt.index, attempt.number, attempt.machine)
                 self.on_absent(team_state, job, attempt)
         self._stop_commands.send(team_state, update.zone, stops)
 
     def _match_observed(
         self, team_state: TeamState, update: wire.StatusUpdate, stops: list[wire.TaskStop]
-    ) -> set[tuple[str, int]]:
+    ) -> set[TaskKey]:
         """Take each task observed on a machine, and add to `stops` what must go.
 
-        Gives the tasks, by job and index, whose recorded attempts were among them.
+        Gives the tasks whose recorded attempts were among them.
         """
-        matched: set[tuple[str, int]] = set()
+        matched: set[TaskKey] = set()
         for observed in update.tasks:
             job = team_state.jobs.get(observed.job)
             attempt = job.attempts.get(observed.index) if job else None
@@ -87,7 +87,7 @@
                 and attempt.number == observed.attempt
                 and attempt.machine == update.machine
             ):
-                matched.add((observed.job, observed.index))
+                matched.add(TaskKey(update.team, observed.job, observed.index))
                 self._on_observed(team_state, job, attempt, observed, stops)
             else:
                 self._on_orphan(team_state, job, observed, update, stops)
