--- a/tealhook/jobs/team.py
+++ b/tealhook/jobs/team.py
@@ -18,7 +18,7 @@
         self.factors: dict[str, Feedback] = {}  # zone -> how actual finishes compare with estimates
         # machine -> (token, sequence) of the newest status update, from its partition's owner
         self.latest_updates: dict[str, tuple[int, int]] = {}
-        self.stray_machines: dict[str, str] = {}  # machines that run tasks which were given up, and their zones
+        self.machines_with_orphans: dict[str, str] = {}  # machines that run attempts no longer on record -> zone
         self.guarantee = 0.0
         self.limit = 0.0
         self.gpus_limit = 0.0
