--- a/tealhook/admission/submissions.py
+++ b/tealhook/admission/submissions.py
@@ -1,64 +1,151 @@
-"""What a submitted job is written as: one record, and further ones for long lists of jobs that it waits for."""
+"""Submissions: a job is accepted once its record is durable, and repeats of it are answered with its status."""
 
 from __future__ import annotations
 
-import msgspec
+from http import HTTPStatus
+from typing import NamedTuple
 
-from tealhook.jobs.index import JobRecord, JobState, job_key
-from tealhook.scheduling.job_writes import TXN_BYTES
-from tealhook.state_store import StateClient
-from tealhook.wire.common import dumps
+from tealhook.admission.job_reader import READ_TIMEOUT_S, JobRead, JobReader, ReadOutcome
+from tealhook.admission.responses import MAX_QUEUE_WAIT_S, Refusal, Responder
+from tealhook.admission.status_replies import MAX_DEPENDENCY_READS, StatusReplier
+from tealhook.admission.submission_records import Submission, encode_submission, find_excess_size
+from tealhook.admission.validation import JobValidator
+from tealhook.context import NodeContext
+from tealhook.http import Reply
+from tealhook.jobs.index import JobIndex, JobState, job_key
+from tealhook.state_store import CallPriority, Outcome, StateClient
+from tealhook.wire import state as state_wire
+from tealhook.wire.common import error_body
+from tealhook.wire.job_parser import InvalidJobError, parse_job
 from tealhook.wire.users import JobSpec
 
+UNKNOWN_DEPENDENCY = Refusal(HTTPStatus.UNPROCESSABLE_ENTITY, "waits_on: names a job that was never accepted")
 
-class Submission:
-    """A job that may be accepted: the whole of it, and the records that it is written as."""
-
-    __slots__ = ("spec", "record", "rows")
-
-    def __init__(self, spec: JobSpec, record: JobRecord, rows: list[tuple[str, dict]]) -> None:
-        """`record` has all names that the job waits for; `rows` are the keys and values that say so on record."""
-        self.spec = spec
-        self.record = record
-        self.rows = rows
-
-    @property
-    def job(self) -> str:
-        """The job's id."""
-        return self.spec.job_id
-
-
-def lay_out(spec: JobSpec, at: float, store: StateClient) -> Submission:
-    """Lay out the records of a job accepted at `at`: its own, and those that go on with the names it waits for."""
-    limit, key = int(store.record_bytes), job_key(spec.job_id)
-    names = [(name, len(dumps(name)) + 1) for name in spec.depends_on]
-
-    def take(room: int) -> list[str]:
-        taken = 0
-        while taken < len(names) and names[taken][1] <= room:
-            room -= names[taken][1]
-            taken += 1
-        part = [name for name, _ in names[:taken]]
-        del names[:taken]
-        return part
-
-    first = msgspec.structs.replace(spec, depends_on=[])
-    record = JobRecord(spec.team, JobState.ACTIVE, first, at)
-    bare = len(dumps(msgspec.to_builtins(record))) + len(b',"waits_on":[],"more":100')
-    first.depends_on = take(limit - bare)
-    further: list[tuple[str, dict]] = []
-    while names and len(further) < store.max_operations:
-        further.append((f"{key}/{len(further) + 1}", {"w": take(limit - 20)}))
-    record.extra_chunks = len(further)
-    rows = [(key, msgspec.to_builtins(record)), *further]
-    return Submission(spec, JobRecord(spec.team, JobState.ACTIVE, spec, at), rows)
-
-
-def why_too_large(submission: Submission, store: StateClient) -> str | None:
-    """Why the records of a submission can't be written in one transaction; None when they can."""
-    sizes = [len(dumps(value)) for _, value in submission.rows]
-    if max(sizes) > store.value_bytes:
-        return f"too large to be kept: at most {store.value_bytes / 1024:g} KiB without waits_on"
-    if len(sizes) > store.max_operations or sum(sizes) > TXN_BYTES:
-        return "too large to be kept: waits_on names too many jobs"
-    return None
+
+class _Request(NamedTuple):
+    """A decoded submission: malformed ones have a refusal in place of a spec."""
+
+    job: str
+    spec: JobSpec | None
+    refusal: Refusal | None
+
+
+class SubmissionHandler:
+    """Accepts jobs, or refuses them."""
+
+    def __init__(
+        self,
+        context: NodeContext,
+        store: StateClient,
+        job_index: JobIndex,
+        reader: JobReader,
+        responder: Responder,
+        statuses: StatusReplier,
+        validator: JobValidator,
+    ) -> None:
+        """Records of accepted jobs are written to `store`; `validator` says which jobs can never run."""
+        self._effects = context.effects
+        self._store = store
+        self._job_index = job_index
+        self._reader = reader
+        self._responder = responder
+        self._statuses = statuses
+        self._validator = validator
+
+    def submit(self, body: bytes, reply: Reply) -> None:
+        """Accept a job, or answer with its status: repeats get 200 whatever else they hold, and however late."""
+        try:
+            spec = parse_job(body)
+            request = _Request(spec.job_id, spec, None)
+        except InvalidJobError as exc:
+            if exc.job is None:
+                reply(HTTPStatus.BAD_REQUEST, error_body(str(exc)))
+                return
+            request = _Request(exc.job, None, Refusal(HTTPStatus.BAD_REQUEST, str(exc)))
+        job = request.job
+        ended = self._job_index.ended.get(job)
+        if ended is not None:
+            reply(HTTPStatus.OK, self._responder.status_body(job, ended[0]))
+            return
+        if self._responder.refuse_overload(CallPriority.ADMIT, reply):
+            return
+        submission, refusal = self._prepare(request)
+        if (
+            submission is None
+            or refusal is not None
+            or not self._validator.is_decidable(request.spec)
+            or job in self._job_index.active
+        ):
+            # Whether it was accepted earlier comes first: teams and machine types may have changed since.
+            # An active job is read too: by now it may have ended.
+            self._answer_accepted(job, reply, refusal)
+            return
+        self._accept_after_dependencies(submission, reply, set())
+
+    def _prepare(self, request: _Request) -> tuple[Submission | None, Refusal | None]:
+        """The records of a job to write, or why it is to be refused unless it was accepted earlier."""
+        if request.spec is None:
+            return None, request.refusal
+        obstacle = self._validator.find_obstacle(request.spec)
+        if obstacle is not None:
+            return None, Refusal(HTTPStatus.UNPROCESSABLE_ENTITY, obstacle)
+        submission = encode_submission(request.spec, round(self._effects.wall(), 1), self._store)
+        excess = find_excess_size(submission, self._store)
+        return submission, Refusal(HTTPStatus.BAD_REQUEST, excess) if excess is not None else None
+
+    def _accept_after_dependencies(self, submission: Submission, reply: Reply, already_read: set[str]) -> None:
+        """Accept a job once each of its dependencies is known to have been accepted; unknown ones are read."""
+        unknown = [
+            job for job in submission.spec.depends_on if job not in already_read and self._job_index.status(job) is None
+        ][:MAX_DEPENDENCY_READS]
+        already_read.update(unknown)
+        if not unknown:
+            self._accept(submission, reply)
+            return
+
+        def dependencies_read(outcomes: list[ReadOutcome]) -> None:
+            if ReadOutcome.ABSENT in outcomes:
+                self._answer_accepted(submission.job, reply, UNKNOWN_DEPENDENCY)
+            elif ReadOutcome.UNKNOWN in outcomes:
+                self._responder.reply_retry(reply, "not decided yet")
+            else:
+                self._accept_after_dependencies(submission, reply, already_read)
+
+        self._reader.read_all(unknown, dependencies_read)
+
+    def _accept(self, submission: Submission, reply: Reply) -> None:
+        """Write the records of a job, unless there is one under its id."""
+        job = submission.job
+
+        def written(outcome: Outcome, revision: int, _failed: list[str]) -> None:
+            if outcome is Outcome.OK:
+                self._job_index.apply_record(job, submission.record, revision)
+                self._statuses.reply_status(HTTPStatus.CREATED, job, JobState.ACTIVE, reply)
+            elif outcome in (Outcome.REFUSED, Outcome.REJECTED):
+                self._responder.reply_retry(reply, "state service unavailable")
+            else:
+                # Accepted earlier, or nobody knows whether now: read, never guess.
+                self._answer_accepted(job, reply, None)
+
+        self._store.transact(
+            {job_key(job): 0},
+            [state_wire.put(write.key, write.value) for write in submission.writes],
+            CallPriority.ADMIT,
+            written,
+            MAX_QUEUE_WAIT_S,
+            READ_TIMEOUT_S,
+        )
+
+    def _answer_accepted(self, job: str, reply: Reply, refusal: Refusal | None) -> None:
+        """Answer 200 when the job was accepted; with `refusal` when it surely was not; else ask to retry."""
+
+        def answer_read(read: JobRead) -> None:
+            status = self._reader.newest_status(job, read)
+            if status is not None:
+                self._statuses.reply_status(HTTPStatus.OK, job, status, reply)
+            elif read.outcome is ReadOutcome.ABSENT and refusal is not None:
+                self._responder.refuse(reply, refusal)
+            else:
+                self._responder.reply_retry(reply, "not decided yet")
+
+        self._reader.read(job, answer_read)
--- /dev/null
+++ b/tealhook/admission/validation.py
@@ -0,0 +1,58 @@
+"""Whether a submitted job can ever run."""
+
+from __future__ import annotations
+
+from collections.abc import Mapping
+
+from tealhook.context import NodeContext
+from tealhook.coordination import Versions
+from tealhook.settings.platform import Team
+from tealhook.wire.cloud import MachineType
+from tealhook.wire.users import JobKind, JobSpec
+
+
+class JobValidator:
+    """Compares jobs with the teams and the machine types that there are."""
+
+    def __init__(self, context: NodeContext, machine_types: Mapping[str, MachineType], versions: Versions) -> None:
+        """`machine_types` is empty until they are known; `versions` tells which ones the controllers run."""
+        self._machine_types = machine_types
+        self._versions = versions
+        self._teams = {team.name: team for team in context.settings.params.teams}
+
+    def is_decidable(self, spec: JobSpec | None) -> bool:
+        """Whether a job may be accepted now: the machine types are known, and all nodes understand its dependencies.
+
+        A controller of an earlier version would start a job without waiting for its dependencies.
+        """
+        if not self._machine_types:
+            return False
+        return spec is None or not spec.depends_on or self._versions.all_upgraded
+
+    def find_obstacle(self, spec: JobSpec) -> str | None:
+        """Why a job can never run; None when it can, or when that is not known yet."""
+        team = self._teams.get(spec.team)
+        if team is None:
+            return "unknown team"
+        if spec.job_id in spec.depends_on:
+            return "waits_on: a job can't wait for itself"
+        if _exceeds_limits(spec, team):
+            return "the job needs more than the team's limit"
+        if self._machine_types and not any(_allows(spec, offered) for offered in self._machine_types.values()):
+            return "a task fits no allowed machine type"
+        return None
+
+
+def _exceeds_limits(spec: JobSpec, team: Team) -> bool:
+    """Whether the tasks that must run at the same time need more than the team may use."""
+    concurrent_tasks = 1 if spec.kind == JobKind.ARRAY else spec.task_count
+    return 0 < team.cpus_max < concurrent_tasks * spec.vcpus or 0 < team.gpus_max < concurrent_tasks * spec.gpus
+
+
+def _allows(spec: JobSpec, machine_type: MachineType) -> bool:
+    """Whether a task may and can run on machines of a type."""
+    if spec.machine_types is not None and machine_type.name not in spec.machine_types:
+        return False
+    if spec.zone is not None and spec.zone not in machine_type.zones:
+        return False
+    return machine_type.fits(spec.resources)
--- a/tealhook/controller.py
+++ b/tealhook/controller.py
@@ -33,7 +33,7 @@
         """Build every component of one controller on `effects` and connect them; nothing runs before `start`."""
         self.settings = settings
         self.machine_types: dict[str, MachineType] = {}  # on offer; kept up to date by the fleet manager
-        self._progress: dict[str, tuple[int, int]] = {}  # job -> tasks done and running; kept up to date by gossip
+        self._progress: dict[str, wire.JobProgress] = {}  # of active jobs; kept up to date by gossip
         self._last_read_at: dict[str, float] = {}  # job -> when its record was last read for a worker that has tasks
         context = self.context = NodeContext(
             effects,
@@ -139,4 +139,4 @@
         if len(self._last_read_at) > MAX_RECENT_READS:
             self._last_read_at.clear()
         self._last_read_at[job] = now
-        self.admission.answer_poll(job, lambda _status, _body, _after=None: None)
+        self.admission.answer_poll(job, lambda _status, _body=b"{}", _retry_after_s=None: None)
--- a/tealhook/gossip.py
+++ b/tealhook/gossip.py
@@ -46,7 +46,7 @@
         team_scheduler: TeamScheduler,
         fleet: FleetManager,
         peers: PeerStates,
-        progress: dict[str, tuple[int, int]],
+        progress: dict[str, wire.JobProgress],
     ) -> None:
         """`progress`: tasks done and running of each active job, for answers to users; kept up to date here."""
         self._effects = context.effects
@@ -109,7 +109,7 @@
                 self._partition_manager.partitions[zone].announce_token(names)
         for job, counts in body.progress.items():
             if job in self._job_index.active:
-                self._progress[job] = (counts[0], counts[1])
+                self._progress[job] = counts
         for item in body.usage:
             self._partition_manager.over_guarantee[item.team] = item.over_guarantee_cpus
 
--- a/tealhook/http/parser.py
+++ b/tealhook/http/parser.py
@@ -270,12 +270,12 @@
 }
 
 
-def encode_response(status: int, body: bytes, keep_alive: bool, retry_after: int | None = None) -> bytes:
-    """A whole response with a JSON body; `retry_after` in seconds, if the client should come again."""
+def encode_response(status: int, body: bytes, keep_alive: bool, retry_after_s: int | None = None) -> bytes:
+    """A whole response with a JSON body; `retry_after_s`: when the client should retry, if it should."""
     head = f"HTTP/1.1 {status} {REASONS.get(status, 'Status')}\r\nContent-Type: application/json\r\n"
     head += f"Content-Length: {len(body)}\r\n"
-    if retry_after is not None:
-        head += f"Retry-After: {retry_after}\r\n"
+    if retry_after_s is not None:
+        head += f"Retry-After: {retry_after_s}\r\n"
     if not keep_alive:
         head += "Connection: close\r\n"
     return head.encode("ascii") + b"\r\n" + body
--- a/tealhook/http/server.py
+++ b/tealhook/http/server.py
@@ -23,8 +23,8 @@
 class Reply(Protocol):
     """Answers one request, now or later; only the first call counts."""
 
-    def __call__(self, status: int, body: bytes = b"{}", retry_after: int | None = None, /) -> object:
-        """`retry_after`: seconds after which the client should repeat the request."""
+    def __call__(self, status: int, body: bytes = b"{}", retry_after_s: int | None = None, /) -> object:
+        """`retry_after_s`: seconds after which the client should repeat the request."""
         ...
 
 
@@ -86,18 +86,18 @@
         self.begun_at = 0.0
         answered = False
 
-        def reply(status: int, body: bytes = b"{}", retry_after: int | None = None) -> None:
+        def reply(status: int, body: bytes = b"{}", retry_after_s: int | None = None) -> None:
             nonlocal answered
             if answered:
                 return
-            if status in COME_BACK and retry_after is None:
-                retry_after = RETRY_AFTER_S
+            if status in COME_BACK and retry_after_s is None:
+                retry_after_s = RETRY_AFTER_S
             answered = True
             self._busy = False
             self.active_at = self._server.loop.now()
             self._server.touch(self)
             keep_alive = request.keep_alive and not self._server.closes_after(request)
-            self._stream.write(encode_response(status, body, keep_alive, retry_after))
+            self._stream.write(encode_response(status, body, keep_alive, retry_after_s))
             if not keep_alive:
                 self._stream.finish()
             elif not self._parser.idle:
--- a/tealhook/scheduling/demand.py
+++ b/tealhook/scheduling/demand.py
@@ -10,10 +10,10 @@
 from tealhook.wire.users import STANDARD_RANK
 
 
-def progress(teams: dict[str, TeamState]) -> dict[str, tuple[int, int]]:
+def progress(teams: dict[str, TeamState]) -> dict[str, wire.JobProgress]:
     """Tasks done and tasks running, by job."""
     return {
-        job.id: (job.done_count, job.running_count())
+        job.id: wire.JobProgress(job.done_count, job.running_count())
         for team_state in teams.values()
         for job in team_state.jobs.values()
         if job.spec is not None
--- a/tealhook/scheduling/team_scheduler.py
+++ b/tealhook/scheduling/team_scheduler.py
@@ -252,7 +252,7 @@
 
     # -- what others want to know
 
-    def progress(self) -> dict[str, tuple[int, int]]:
+    def progress(self) -> dict[str, wire.JobProgress]:
         """Tasks done and tasks running, by job."""
         return demand.progress(self.teams)
 
--- a/tealhook/wire/common.py
+++ b/tealhook/wire/common.py
@@ -23,16 +23,20 @@
 NO_RESOURCES = Resources(0.0, 0.0, 0.0)
 
 
-def dumps(value: Any) -> bytes:
+def encode_json(value: Any) -> bytes:
     """Encode `value` as one line of JSON."""
     return _encoder.encode(value)
 
 
-def loads(data: bytes) -> Any:
+def decode_json(data: bytes) -> Any:
     """Decode JSON into plain Python values; raises DecodeError."""
     return _raw_decoder.decode(data)
 
 
+dumps = encode_json  # the earlier names, for callers that still use them
+loads = decode_json
+
+
 def error_body(text: str) -> bytes:
     """The JSON body that goes with an error status."""
     return _encoder.encode({"error": text})
--- a/tealhook/wire/mesh.py
+++ b/tealhook/wire/mesh.py
@@ -2,6 +2,8 @@
 
 from __future__ import annotations
 
+from typing import NamedTuple
+
 import msgspec
 
 LAUNCHING = "launching"  # the status of an observed task whose launch is not resolved
@@ -222,6 +224,13 @@
     over_guarantee_cpus: float
 
 
+class JobProgress(NamedTuple):
+    """Numbers of a job's tasks."""
+
+    done: int
+    running: int
+
+
 class Gossip(msgspec.Struct, tag="gossip"):
     """What every node tells every other one from time to time."""
 
@@ -231,7 +240,7 @@
     usage: list[TeamUsage] = []
     demand: list[Demand] = []
     machines: dict[str, list[MachineState]] = msgspec.field(default_factory=dict, name="boxes")
-    progress: dict[str, tuple[int, int]] = {}
+    progress: dict[str, JobProgress] = {}  # of active jobs
     addresses: dict[str, dict[str, str]] = msgspec.field(
         default_factory=dict, name="addrs"
     )  # from the fleet's owner: zone -> machine -> address
--- a/tealhook/wire/state.py
+++ b/tealhook/wire/state.py
@@ -7,7 +7,7 @@
 
 import msgspec
 
-from tealhook.wire.common import dumps
+from tealhook.wire.common import encode_json
 
 
 class KeyValue(msgspec.Struct):
@@ -124,4 +124,4 @@
 
 def encode_transaction(conditions: Conditions, operations: Sequence[Operation]) -> bytes:
     """The body of a transaction: it executes all operations, or none where a condition fails."""
-    return dumps(_Transaction([_Condition(key, revision) for key, revision in conditions.items()], operations))
+    return encode_json(_Transaction([_Condition(key, revision) for key, revision in conditions.items()], operations))
--- a/tests/test_guards.py
+++ b/tests/test_guards.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from tealhook.admission.admission import Admission
+from tealhook.admission.polls import PollHandler
 from tealhook.fleet import FleetManager
 from tealhook.partitions.manager import PartitionManager
 from tealhook.partitions.partition import Partition
@@ -74,15 +74,15 @@
 
 
 def _answer_from_memory(patch):
-    whole = Admission.answer_poll
+    whole = PollHandler.answer
 
     def show(self, job, reply):
         if job in self._job_index.active:
-            reply(200, self._status_body(job, "active"))
+            reply(200, self._responder.status_body(job, "active"))
         else:
             whole(self, job, reply)
 
-    patch.setattr(Admission, "answer_poll", show)
+    patch.setattr(PollHandler, "answer", show)
 
 
 def _answer_for_ever(patch):
--- a/tests/test_job_records.py
+++ b/tests/test_job_records.py
@@ -5,7 +5,7 @@
 import msgspec
 import pytest
 
-from tealhook.admission import admission
+from tealhook.admission import submissions
 from tealhook.jobs.index import JobRecord, JobState
 from tealhook.jobs.job import Job
 from tealhook.jobs.records import JobRecords, ending
@@ -140,14 +140,14 @@
     world = World(1)
     world.run(20.0)
     laid_out: list = []
-    whole = admission.lay_out
-    monkeypatch.setattr(admission, "lay_out", lambda *args: laid_out.append(whole(*args)) or laid_out[-1])
+    whole = submissions.encode_submission
+    monkeypatch.setattr(submissions, "encode_submission", lambda *args: laid_out.append(whole(*args)) or laid_out[-1])
     job = world.submit(plays=2, expected_s=100.0, **ALIKE)
     world.run(2.0)
     assert world.jobs[job].accepted
-    written = [row for submission in laid_out for row in submission.rows]
+    written = [write for submission in laid_out for write in submission.writes]
     assert [key for key, _value in written] == [f"job/{job}"]
-    assert world.state.rows[f"job/{job}"][0] == json.loads(dumps(written[0][1]))
+    assert world.state.rows[f"job/{job}"][0] == json.loads(dumps(written[0].value))
 
 
 def test_the_first_piece_of_a_record_is_laid_out_once_when_nothing_is_staged(monkeypatch):
--- a/tests/test_meetings_users.py
+++ b/tests/test_meetings_users.py
@@ -7,7 +7,8 @@
 
 import pytest
 
-from tealhook.admission.admission import Admission
+from tealhook.admission.polls import PollHandler
+from tealhook.admission.validation import JobValidator
 from tealhook.fleet import FleetManager
 from tealhook.scheduling.candidates import CandidateSelection
 from tealhook.scheduling.team_scheduler import TeamState
@@ -506,15 +507,15 @@
     world.submit(plays=1, vcpus=1.0, expected_s=400.0, **PLAIN)
     if calm:
         world.calm_at = world.now
-    whole = Admission.answer_poll
+    whole = PollHandler.answer
 
     def show(self, asked, reply):
         if asked == job:
-            self._reply_retry(reply, "not now")
+            self._responder.reply_retry(reply, "not now")
         else:
             whole(self, asked, reply)
 
-    monkeypatch.setattr(Admission, "answer_poll", show)
+    monkeypatch.setattr(PollHandler, "answer", show)
     world.run(60.0)
     with pytest.raises(Broken, match="forgotten"):
         world.run(40.0)
@@ -522,13 +523,15 @@
 
 def test_a_job_accepted_though_it_cannot_run_and_ids_made_up_are_found_out(monkeypatch):
     world, _job = _alone()
-    monkeypatch.setattr(Admission, "_why_never", lambda self, spec: None)
+    monkeypatch.setattr(JobValidator, "find_obstacle", lambda self, spec: None)
     users.odd_job(world, fits_none=True)
     with pytest.raises(Broken, match="accepted_wrong"):
         world.run(5.0)
     monkeypatch.undo()
     world, _job = _alone()
-    monkeypatch.setattr(Admission, "answer_poll", lambda self, job, reply: reply(200, self._status_body(job, "done")))
+    monkeypatch.setattr(
+        PollHandler, "answer", lambda self, job, reply: reply(200, self._responder.status_body(job, "done"))
+    )
     for _ in range(8):
         users.ask_unknown(world, "req-999999")
     with pytest.raises(Broken, match="invented"):
--- a/tests/test_pipelines_cancelled.py
+++ b/tests/test_pipelines_cancelled.py
@@ -4,7 +4,8 @@
 
 import pytest
 
-from tealhook.admission.admission import Admission
+from tealhook.admission.job_reader import JobReader
+from tealhook.admission.status_replies import StatusReplier
 from tealhook.jobs.job import Job
 from tests import pipelines, users
 from tests.pipeline_steps import (
@@ -229,9 +230,9 @@
 
 def _answer_what_was_read(patch):
     def reply_status(self, code, job, status, reply):
-        reply(code, self._status_body(job, status))
+        reply(code, self._responder.status_body(job, status))
 
-    patch.setattr(Admission, "_reply_status", reply_status)
+    patch.setattr(StatusReplier, "reply_status", reply_status)
 
 
 def _old_views(seed: int) -> World:
@@ -269,7 +270,7 @@
 def _read_one_record_alone(patch):
     """Two guards: a question brings the view of all records up to date, and an old view tells nothing."""
     _answer_what_was_read(patch)
-    patch.setattr(Admission, "_read", Admission._read_alone)
+    patch.setattr(JobReader, "read", JobReader.read_record)
 
 
 @pytest.mark.parametrize(
