--- a/tealhook/errors.py
+++ b/tealhook/errors.py
@@ -1,5 +1,7 @@
-"""The base class of the errors that this package raises."""
+"""The base of the errors that tealhook raises itself."""
+
+from __future__ import annotations
 
 
 class TealhookError(Exception):
-    """Base class of all errors of this package."""
+    """Base of the errors that tealhook raises itself, for callers that handle all of them alike."""
--- a/tealhook/mesh_handler.py
+++ b/tealhook/mesh_handler.py
@@ -11,15 +11,6 @@
 from tealhook.scheduling import TeamScheduler
 from tealhook.wire import mesh as wire
 
-PartitionMessage = (
-    wire.CapacityInquiry
-    | wire.ReserveRequest
-    | wire.LaunchRequest
-    | wire.ReconcileRequest
-    | wire.StopRequest
-    | wire.DrainRequest
-)
-
 
 class MeshHandler:
     """Hands each message to the component that it concerns."""
@@ -56,15 +47,8 @@
                 self._on_relayed(heartbeat, reply)
             case wire.ForwardRequest():
                 self._on_forwarded(body, reply)
-            case (
-                wire.CapacityInquiry()
-                | wire.ReserveRequest()
-                | wire.LaunchRequest()
-                | wire.ReconcileRequest()
-                | wire.StopRequest()
-                | wire.DrainRequest()
-            ):
-                self._on_partition_message(body, reply)
+            case wire.PartitionRequest():
+                self._on_partition_request(body, reply)
             case _:
                 reply(wire.Refused("not a request"))
 
@@ -86,7 +70,7 @@
 
         self._on_user_request(request, answer)
 
-    def _on_partition_message(self, body: PartitionMessage, reply: MessageReply) -> None:
+    def _on_partition_request(self, body: wire.PartitionRequest, reply: MessageReply) -> None:
         """Handle a message to the owner of a partition, which this node may be no more."""
         partition = self._partition_manager.partitions.get(body.zone)
         if partition is None:
--- /dev/null
+++ b/tealhook/wire/mesh/__init__.py
@@ -0,0 +1,104 @@
+"""Controllers <-> controllers. Every message is a tagged Struct in MessagePack.
+
+The messages stand in a module for each of their groups, the envelope and the union of all messages in `envelope`.
+"""
+
+from tealhook.wire.mesh.capacity import (
+    Capacity,
+    CapacityInquiry,
+    CapacityReply,
+    PartitionRequest,
+    TaskRequirements,
+)
+from tealhook.wire.mesh.envelope import (
+    MAX_FRAME,
+    NO_REPLY,
+    Acknowledged,
+    Body,
+    Envelope,
+    Refused,
+    envelope_decoder,
+    envelope_encoder,
+)
+from tealhook.wire.mesh.fleet import (
+    Demand,
+    DrainRequest,
+    FenceRequest,
+    MachinesReleased,
+    MachineState,
+    TeamUsage,
+)
+from tealhook.wire.mesh.forwarding import (
+    ForwardReply,
+    ForwardRequest,
+    RelayReply,
+    RelayRequest,
+)
+from tealhook.wire.mesh.gossip import (
+    Gossip,
+    JobProgress,
+)
+from tealhook.wire.mesh.launches import (
+    FORGET,
+    LaunchReply,
+    LaunchRequest,
+    StopRequest,
+    TaskStart,
+    TaskStop,
+)
+from tealhook.wire.mesh.reconciliation import (
+    LAUNCHING,
+    ObservedTask,
+    ReconcileReply,
+    ReconcileRequest,
+    StatusUpdate,
+)
+from tealhook.wire.mesh.reservations import (
+    ReservationGrant,
+    ReservationRequest,
+    ReserveReply,
+    ReserveRequest,
+)
+
+__all__ = [
+    "Acknowledged",
+    "Body",
+    "Capacity",
+    "CapacityInquiry",
+    "CapacityReply",
+    "Demand",
+    "DrainRequest",
+    "Envelope",
+    "FORGET",
+    "FenceRequest",
+    "ForwardReply",
+    "ForwardRequest",
+    "Gossip",
+    "JobProgress",
+    "LAUNCHING",
+    "LaunchReply",
+    "LaunchRequest",
+    "MAX_FRAME",
+    "MachineState",
+    "MachinesReleased",
+    "NO_REPLY",
+    "ObservedTask",
+    "PartitionRequest",
+    "ReconcileReply",
+    "ReconcileRequest",
+    "Refused",
+    "RelayReply",
+    "RelayRequest",
+    "ReservationGrant",
+    "ReservationRequest",
+    "ReserveReply",
+    "ReserveRequest",
+    "StatusUpdate",
+    "StopRequest",
+    "TaskRequirements",
+    "TaskStart",
+    "TaskStop",
+    "TeamUsage",
+    "envelope_decoder",
+    "envelope_encoder",
+]
