--- a/tealhook/admission/submissions.py
+++ b/tealhook/admission/submissions.py
@@ -58,10 +58,10 @@
             spec = parse_job(body)
             request = _Request(spec.job_id, spec, None)
         except InvalidJobError as exc:
-            if exc.job is None:
+            if exc.job_id is None:
                 reply(HTTPStatus.BAD_REQUEST, error_body(str(exc)))
                 return
-            request = _Request(exc.job, None, Refusal(HTTPStatus.BAD_REQUEST, str(exc)))
+            request = _Request(exc.job_id, None, Refusal(HTTPStatus.BAD_REQUEST, str(exc)))
         job = request.job
         ended = self._job_index.ended.get(job)
         if ended is not None:
--- a/tealhook/http/parser.py
+++ b/tealhook/http/parser.py
@@ -11,13 +11,15 @@
 from collections.abc import Callable
 from typing import Generic, Literal, TypeVar, overload
 
+from tealhook.errors import TealhookError
+
 MAX_HEAD = 16 * 1024
 MAX_BODY = 64 * 1024
 MAX_CHUNK_LINE = 1024
 _TOKEN = re.compile(r"[!#$%&'*+\-.^_`|~0-9A-Za-z]+")
 
 
-class HttpError(Exception):
+class HttpError(TealhookError):
     """The other side broke the protocol; `status` is what a server answers."""
 
     def __init__(self, status: int, text: str) -> None:
--- a/tealhook/settings/platform.py
+++ b/tealhook/settings/platform.py
@@ -7,9 +7,18 @@
 
 import msgspec
 
+from tealhook.errors import TealhookError
 
-class SettingsError(ValueError):
-    """One line: file, key, and what is expected."""
+
+class SettingsError(TealhookError, ValueError):
+    """A settings file that can't be used; the text is one line: file, key, and what is expected."""
+
+    def __init__(self, path: str, key: str | None, problem: str) -> None:
+        """`key` is None where the file as a whole is wrong."""
+        super().__init__(f"{path}: {key}: {problem}" if key is not None else f"{path}: {problem}")
+        self.path = path
+        self.key = key
+        self.problem = problem
 
 
 class Peer(msgspec.Struct):
@@ -152,14 +161,14 @@
 def _check_addr(path: str, key: str, value: str) -> None:
     match = _ADDR.match(value)
     if not match or any(int(part) > 255 for part in match.groups()[:4]) or not 0 < int(match[5]) < 65536:
-        raise SettingsError(f"{path}: {key}: expected IPv4 address and port such as '10.0.0.1:8080', got {value!r}")
+        raise SettingsError(path, key, f"expected IPv4 address and port such as '10.0.0.1:8080', got {value!r}")
 
 
 def _check_positive(path: str, group: str, struct: msgspec.Struct, names: tuple[str, ...]) -> None:
     for name in names:
         value = getattr(struct, name)
         if not math.isfinite(value) or value <= 0:
-            raise SettingsError(f"{path}: {group}.{name}: expected a number above 0, got {value}")
+            raise SettingsError(path, f"{group}.{name}", f"expected a number above 0, got {value}")
 
 
 def _check_names(path: str, settings: Settings) -> None:
@@ -170,7 +179,7 @@
     names += [(f"params.zones[{i}]", zone) for i, zone in enumerate(params.zones)]
     for key, value in names:
         if not _NAME.match(value):
-            raise SettingsError(f"{path}: {key}: expected 1 to 64 letters, digits, '_', '.' or '-', got {value!r}")
+            raise SettingsError(path, key, f"expected 1 to 64 letters, digits, '_', '.' or '-', got {value!r}")
 
 
 def _check_state(path: str, limits: State) -> None:
@@ -182,7 +191,7 @@
         groups.append(("params.state.next", limits.next))
     for group, state in groups:
         if state.txn_ops is not None and state.txn_ops < 2:
-            raise SettingsError(f"{path}: {group}.txn_ops: expected at least 2, got {state.txn_ops}")
+            raise SettingsError(path, f"{group}.txn_ops", f"expected at least 2, got {state.txn_ops}")
 
 
 def _check_teams(path: str, teams: list[Team]) -> None:
@@ -190,7 +199,7 @@
         for name in ("cpus", "cpus_max", "gpus", "gpus_max"):
             value = getattr(team, name)
             if not math.isfinite(value) or value < 0:
-                raise SettingsError(f"{path}: params.teams[{i}].{name}: expected a number, 0 or more, got {value}")
+                raise SettingsError(path, f"params.teams[{i}].{name}", f"expected a number, 0 or more, got {value}")
 
 
 def _check(path: str, settings: Settings) -> None:
@@ -209,11 +218,11 @@
     _check_positive(path, "params.limits", params.limits, ("core_share", "mem_mb", "max_connections"))
     _check_state(path, params.state)
     if params.workers.cancel_s <= params.workers.lease_s:
-        raise SettingsError(f"{path}: params.workers.cancel_s: expected more than lease_s")
+        raise SettingsError(path, "params.workers.cancel_s", "expected more than lease_s")
     _check_teams(path, params.teams)
     for kind, listed in (("teams", settings.team_names), ("zones", params.zones)):
         if len(set(listed)) != len(listed):
-            raise SettingsError(f"{path}: params.{kind}: expected each name once")
+            raise SettingsError(path, f"params.{kind}", "expected each name once")
 
 
 def parse_settings(path: str, text: str) -> Settings:
@@ -223,9 +232,9 @@
     except msgspec.ValidationError as exc:
         message, _, where = str(exc).partition(" - at `$")
         key = where.rstrip("`").lstrip(".") or "(top)"
-        raise SettingsError(f"{path}: {key}: {message}") from None
+        raise SettingsError(path, key, message) from None
     except msgspec.DecodeError as exc:
-        raise SettingsError(f"{path}: not TOML: {exc}") from None
+        raise SettingsError(path, None, f"not TOML: {exc}") from None
     _check(path, settings)
     return settings
 
@@ -236,5 +245,5 @@
         with open(path, encoding="utf-8") as file:
             text = file.read()
     except (OSError, UnicodeDecodeError) as exc:
-        raise SettingsError(f"{path}: can't be read: {getattr(exc, 'strerror', None) or exc}") from None
+        raise SettingsError(path, None, f"can't be read: {getattr(exc, 'strerror', None) or exc}") from None
     return parse_settings(path, text)
--- a/tealhook/settings/policy.py
+++ b/tealhook/settings/policy.py
@@ -10,7 +10,9 @@
 import math
 from collections.abc import Callable, Mapping
 from types import CodeType
-from typing import Literal
+from typing import Literal, NamedTuple
+
+from tealhook.errors import TealhookError
 
 MAX_FILE = 16 * 1024
 MAX_NODES = 200
@@ -69,8 +71,31 @@
 _COMPARE = (ast.Lt, ast.LtE, ast.Gt, ast.GtE, ast.Eq, ast.NotEq)
 
 
-class PolicyError(ValueError):
-    """One line: file, line, column, and what is wrong."""
+class Position(NamedTuple):
+    """A place in a policy file, or the file as a whole; lines and columns count from 1."""
+
+    path: str
+    line: int | None = None
+    column: int | None = None
+
+    def __str__(self) -> str:
+        """As compilers print it."""
+        return f"{self.path}:{self.line}:{self.column}" if self.line is not None else self.path
+
+    def shifted(self, columns: int) -> Position:
+        """A place further right on the same line."""
+        return self._replace(column=(self.column or 0) + columns)
+
+
+class PolicyError(TealhookError, ValueError):
+    """A policy that can't be used; the text is one line: position, rule if known, and what is wrong."""
+
+    def __init__(self, position: Position, problem: str, rule: str | None = None) -> None:
+        """`rule` is the name of the rule that is wrong, if there is one."""
+        super().__init__(f"{position}: {rule}: {problem}" if rule is not None else f"{position}: {problem}")
+        self.position = position
+        self.problem = problem
+        self.rule = rule
 
 
 Kind = Literal["number", "truth"]
@@ -180,60 +205,62 @@
         return min(highest, max(lowest, result))
 
 
-def _compile(path: str, line: int, column: int, name: str, text: str) -> CodeType:
-    def fail(node: ast.AST, why: str) -> PolicyError:
-        return PolicyError(f"{path}:{line}:{column + getattr(node, 'col_offset', 0)}: {name}: {why}")
+def _compile(start: Position, rule: str, text: str) -> CodeType:
+    """Compile the expression of a rule that begins at `start`."""
+
+    def fail(node: ast.AST, problem: str) -> PolicyError:
+        return PolicyError(start.shifted(getattr(node, "col_offset", 0)), problem, rule)
 
     try:
         tree = ast.parse(text, mode="eval")
     except (SyntaxError, ValueError, RecursionError, MemoryError) as exc:
         offset = (getattr(exc, "offset", None) or 1) - 1
-        raise PolicyError(f"{path}:{line}:{column + offset}: {name}: not an expression") from None
+        raise PolicyError(start.shifted(offset), "not an expression", rule) from None
     if sum(1 for _ in ast.walk(tree)) > MAX_NODES:
         raise fail(tree.body, "too long")
     _Checker(fail).number(tree.body)
-    code: CodeType = compile(tree, path, "eval")
+    code: CodeType = compile(tree, start.path, "eval")
     return code
 
 
 def parse_policy(path: str, text: str) -> Policy:
     """Check a policy's text; rules that it does not name keep their defaults."""
     if len(text) > MAX_FILE:
-        raise PolicyError(f"{path}:1:1: expected at most {MAX_FILE} characters")
-    codes = {name: _compile("default", 1, 1, name, rule[1]) for name, rule in RULES.items()}
+        raise PolicyError(Position(path, 1, 1), f"expected at most {MAX_FILE} characters")
+    codes = {name: _compile(Position("default", 1, 1), name, rule[1]) for name, rule in RULES.items()}
     seen: set[str] = set()
     for number, line in enumerate(text.splitlines(), 1):
         line = line.split("#", 1)[0]
         if not line.strip():
             continue
         name, equals, expression = line.partition("=")
-        column = len(name) - len(name.lstrip()) + 1
+        position = Position(path, number, len(name) - len(name.lstrip()) + 1)
         name = name.strip()
         if not equals:
-            raise PolicyError(f"{path}:{number}:{column}: expected 'name = expression'")
+            raise PolicyError(position, "expected 'name = expression'")
         if name not in RULES:
-            raise PolicyError(f"{path}:{number}:{column}: unknown rule '{name}'; known: {', '.join(RULES)}")
+            raise PolicyError(position, f"unknown rule '{name}'; known: {', '.join(RULES)}")
         if name in seen:
-            raise PolicyError(f"{path}:{number}:{column}: rule '{name}' is set twice")
+            raise PolicyError(position, f"rule '{name}' is set twice")
         seen.add(name)
-        start = line.index("=") + 1
-        start += len(expression) - len(expression.lstrip())
-        codes[name] = _compile(path, number, start + 1, name, expression.strip())
-        _check_constant(path, number, start + 1, name, codes[name], expression)
+        offset = line.index("=") + 1 + len(expression) - len(expression.lstrip())
+        start = Position(path, number, offset + 1)
+        codes[name] = _compile(start, name, expression.strip())
+        _check_constant(start, name, codes[name], expression)
     return Policy(codes)
 
 
-def _check_constant(path: str, line: int, column: int, name: str, code: CodeType, text: str) -> None:
+def _check_constant(start: Position, rule: str, code: CodeType, text: str) -> None:
     """A rule without variables is checked against its range at once."""
     if any(isinstance(node, ast.Name) and node.id in VARIABLES for node in ast.walk(ast.parse(text.strip()))):
         return
-    _, _, lowest, highest = RULES[name]
+    _, _, lowest, highest = RULES[rule]
     try:
         value = float(eval(code, {"__builtins__": {}, **FUNCTIONS}, {}))  # noqa: S307 - checked above
     except ArithmeticError as exc:
-        raise PolicyError(f"{path}:{line}:{column}: {name}: {exc}") from None
+        raise PolicyError(start, str(exc), rule) from None
     if not lowest <= value <= highest:
-        raise PolicyError(f"{path}:{line}:{column}: {name}: expected {lowest:g} to {highest:g}, got {value:g}")
+        raise PolicyError(start, f"expected {lowest:g} to {highest:g}, got {value:g}", rule)
 
 
 def load_policy(path: str | None) -> Policy:
@@ -244,5 +271,5 @@
         with open(path, encoding="utf-8") as file:
             text = file.read(MAX_FILE + 1)
     except (OSError, UnicodeDecodeError) as exc:
-        raise PolicyError(f"{path}: can't be read: {getattr(exc, 'strerror', None) or exc}") from None
+        raise PolicyError(Position(path), f"can't be read: {getattr(exc, 'strerror', None) or exc}") from None
     return parse_policy(path, text)
--- a/tealhook/user.py
+++ b/tealhook/user.py
@@ -10,6 +10,7 @@
 from pathlib import Path
 from typing import Any, NamedTuple
 
+from tealhook.errors import TealhookError
 from tealhook.wire.users import valid_job_id
 
 EXIT_OK, EXIT_FAILED, EXIT_USAGE = 0, 1, 2
@@ -44,7 +45,7 @@
         connection.close()
 
 
-class UnusableJobError(ValueError):
+class UnusableJobError(TealhookError, ValueError):
     """The job that a command names can't be used: one line says why."""
 
 
--- a/tealhook/wire/job_parser.py
+++ b/tealhook/wire/job_parser.py
@@ -10,16 +10,22 @@
 
 import msgspec
 
+from tealhook.errors import TealhookError
 from tealhook.wire.users import JobKind, JobPriority, JobSpec, valid_job_id
 
 MAX_TASKS = 100_000
 MAX_JOB_CLASS_LENGTH = 200  # characters; the name goes along with demand from node to node
 
 
-class InvalidJobError(ValueError):
-    """A submission that is malformed (400)."""
+class InvalidJobError(TealhookError, ValueError):
+    """A submission that is malformed (400); the text names the field, by its name on the wire, and the problem."""
 
-    job: str | None = None  # its id; None when none can be read, so that it repeats nothing
+    def __init__(self, problem: str, field: str | None = None, job_id: str | None = None) -> None:
+        """`field` is None where the whole body is malformed, `job_id` where none can be read: that repeats no job."""
+        super().__init__(f"{field}: {problem}" if field is not None else problem)
+        self.problem = problem
+        self.field = field
+        self.job_id = job_id
 
 
 _fields_decoder = msgspec.json.Decoder(dict[str, msgspec.Raw])
@@ -142,21 +148,21 @@
             raise InvalidJobError("must not be null" if name in fields else "missing")
         return _CHECKS[name](value)
     except InvalidJobError as exc:
-        raise InvalidJobError(f"{name}: {exc}") from None
+        raise InvalidJobError(exc.problem, name) from None
 
 
-def _checked_spec(job: str, fields: dict[str, msgspec.Raw], repeated: set[str]) -> JobSpec:
+def _checked_spec(job_id: str, fields: dict[str, msgspec.Raw], repeated: set[str]) -> JobSpec:
     for name in _CHECKS:
         if name in repeated:
-            raise InvalidJobError(f"{name}: given more than once")
+            raise InvalidJobError("given more than once", name)
     values = {name: _checked(fields, name) for name in _CHECKS}
-    spec = JobSpec(job, **{_ATTRIBUTES[name]: value for name, value in values.items()})
+    spec = JobSpec(job_id, **{_ATTRIBUTES[name]: value for name, value in values.items()})
     spec.depends_on = spec.depends_on or []
     if spec.vcpus == 0 and spec.gpus == 0 and spec.memory_gb == 0:
-        raise InvalidJobError("vcpus, cards, memory_gb: a task must take something")
+        raise InvalidJobError("a task must take something", "vcpus, cards, memory_gb")
     # Malformed, not 422: the fields contradict each other, whatever teams and types there are.
     if spec.spread and spec.task_count > 1 and (spec.single_zone or spec.zone is not None):
-        raise InvalidJobError("spread: contradicts together or yard, which ask for one zone")
+        raise InvalidJobError("contradicts together or yard, which ask for one zone", "spread")
     return spec
 
 
@@ -171,11 +177,10 @@
         repeated = _repeated(text, fields)
     except (msgspec.DecodeError, ValueError, RecursionError) as exc:
         raise InvalidJobError(str(exc)) from None
-    job = _value(fields, "name_id")
-    if type(job) is not str or not valid_job_id(job) or "name_id" in repeated:
-        raise InvalidJobError("name_id: not a job id, or not one alone")
+    job_id = _value(fields, "name_id")
+    if type(job_id) is not str or not valid_job_id(job_id) or "name_id" in repeated:
+        raise InvalidJobError("not a job id, or not one alone", "name_id")
     try:
-        return _checked_spec(job, fields, repeated)
+        return _checked_spec(job_id, fields, repeated)
     except InvalidJobError as exc:
-        exc.job = job
-        raise
+        raise InvalidJobError(exc.problem, exc.field, job_id) from None
