--- a/tealhook/controller.py
+++ b/tealhook/controller.py
@@ -8,7 +8,9 @@
 from tealhook.coordination import FLEET_KEY, Ownership, Versions, team_key
 from tealhook.coordination.balancing import PARTITION_PREFIX, TEAM_PREFIX
 from tealhook.fleet import FleetManager
-from tealhook.gossip import GossipExchange, PeerStates
+from tealhook.forwarding import RequestForwarder
+from tealhook.gossip import FleetInputs, GossipReceiver, GossipSender, GossipSources, PeerStates
+from tealhook.health_check import HealthCheck
 from tealhook.jobs import JobIndex, JobState
 from tealhook.loop.effects import Effects, every
 from tealhook.mesh import Mesh
@@ -33,7 +35,7 @@
         """Build every component of one controller on `effects` and connect them; nothing runs before `start`."""
         self.settings = settings
         self.machine_types: dict[str, MachineType] = {}  # on offer; kept up to date by the fleet manager
-        self._progress: dict[str, tuple[int, int]] = {}  # job -> tasks done and running; kept up to date by gossip
+        self._progress: dict[str, wire.JobProgress] = {}  # of active jobs; kept up to date by gossip
         self._last_read_at: dict[str, float] = {}  # job -> when its record was last read for a worker that has tasks
         context = self.context = NodeContext(
             effects,
@@ -63,33 +65,25 @@
         self.admission = Admission(
             context, self.state_client, self.job_index, self.machine_types, self._progress, self.versions
         )
-        self.gossip = GossipExchange(
-            context,
-            self.ownership,
-            self.state_client,
-            self.mesh,
-            self.job_index,
-            self.partition_manager,
-            self.team_scheduler,
-            self.fleet_manager,
-            peers,
-            self._progress,
+        fleet_inputs = FleetInputs(context, self.ownership)
+        gossip_receiver = GossipReceiver(
+            context, self.ownership, self.job_index, self.partition_manager, peers, fleet_inputs, self._progress
         )
+        gossip_sources = GossipSources(
+            self.ownership, self.state_client, self.partition_manager, self.team_scheduler, self.fleet_manager
+        )
+        self.gossip_sender = GossipSender(context, self.mesh, gossip_sources, gossip_receiver, fleet_inputs)
         self.api = Api(
-            context,
-            self.state_client,
-            self.job_index,
-            self.mesh,
             self.partition_manager,
             self.admission,
-            self.versions,
-            peers,
+            HealthCheck(context, self.state_client, self.job_index, peers),
+            RequestForwarder(context, self.state_client, self.mesh, self.versions, peers),
         )
         self.on_request = self.api.on_request  # called for every request of users, workers and health checks
         handler = MeshHandler(
-            self.gossip, self.team_scheduler, self.partition_manager, self.fleet_manager, self.api.on_user
+            gossip_receiver, self.team_scheduler, self.partition_manager, self.fleet_manager, self.api.on_user
         )
-        self.mesh.handler = handler.on_message
+        self.mesh.start(handler)
         self.mesh.current_incarnation = self.ownership.incarnation_of
         self.ownership.is_reachable = peers.reachable
         self.ownership.is_unheard = self.partition_manager.is_unheard
@@ -101,7 +95,7 @@
         self.job_index.start(self)
         self.ownership.start()
         self.versions.start()
-        every(self.context.effects, self.context.workers.report_s / 2, self.gossip.send)
+        every(self.context.effects, self.context.workers.report_s / 2, self.gossip_sender.send)
 
     def _on_ownership_change(self, key: str, token: int | None) -> None:
         if key == FLEET_KEY:
@@ -139,4 +133,4 @@
         if len(self._last_read_at) > MAX_RECENT_READS:
             self._last_read_at.clear()
         self._last_read_at[job] = now
-        self.admission.answer_poll(job, lambda _status, _body, _after=None: None)
+        self.admission.answer_poll(job, lambda _status, _body=b"{}", _retry_after_s=None: None)
--- a/tealhook/http/parser.py
+++ b/tealhook/http/parser.py
@@ -11,13 +11,15 @@
 from collections.abc import Callable
 from typing import Generic, Literal, TypeVar, overload
 
+from tealhook.errors import TealhookError
+
 MAX_HEAD = 16 * 1024
 MAX_BODY = 64 * 1024
 MAX_CHUNK_LINE = 1024
 _TOKEN = re.compile(r"[!#$%&'*+\-.^_`|~0-9A-Za-z]+")
 
 
-class HttpError(Exception):
+class HttpError(TealhookError):
     """The other side broke the protocol; `status` is what a server answers."""
 
     def __init__(self, status: int, text: str) -> None:
@@ -39,6 +41,11 @@
         self.body = b""
         self.keep_alive = keep_alive
 
+    @property
+    def path(self) -> str:
+        """The target without its query."""
+        return self.target.split("?", 1)[0]
+
 
 class Response:
     """A response whose body has arrived whole."""
@@ -270,12 +277,12 @@
 }
 
 
-def encode_response(status: int, body: bytes, keep_alive: bool, retry_after: int | None = None) -> bytes:
-    """A whole response with a JSON body; `retry_after` in seconds, if the client should come again."""
+def encode_response(status: int, body: bytes, keep_alive: bool, retry_after_s: int | None = None) -> bytes:
+    """A whole response with a JSON body; `retry_after_s`: when the client should retry, if it should."""
     head = f"HTTP/1.1 {status} {REASONS.get(status, 'Status')}\r\nContent-Type: application/json\r\n"
     head += f"Content-Length: {len(body)}\r\n"
-    if retry_after is not None:
-        head += f"Retry-After: {retry_after}\r\n"
+    if retry_after_s is not None:
+        head += f"Retry-After: {retry_after_s}\r\n"
     if not keep_alive:
         head += "Connection: close\r\n"
     return head.encode("ascii") + b"\r\n" + body
--- a/tealhook/scheduling/demand.py
+++ b/tealhook/scheduling/demand.py
@@ -27,10 +27,10 @@
         self._job_index = job_index
         self._teams = teams
 
-    def progress(self) -> dict[str, tuple[int, int]]:
+    def progress(self) -> dict[str, wire.JobProgress]:
         """Tasks done and tasks running, by job."""
         return {
-            job.id: (job.done_count, job.running_count())
+            job.id: wire.JobProgress(job.done_count, job.running_count())
             for team_state in self._teams.values()
             for job in team_state.jobs.values()
             if job.spec is not None
--- a/tealhook/scheduling/job_building.py
+++ b/tealhook/scheduling/job_building.py
@@ -6,8 +6,9 @@
 from typing import Any
 
 from tealhook.context import NodeContext
-from tealhook.jobs.index import JobEntry, JobIndex
+from tealhook.jobs.index import JobIndex
 from tealhook.jobs.job import Job
+from tealhook.jobs.job_entry import JobEntry
 
 
 class JobBuilder:
--- a/tealhook/scheduling/team_scheduler.py
+++ b/tealhook/scheduling/team_scheduler.py
@@ -12,8 +12,9 @@
 from tealhook.context import NodeContext
 from tealhook.coordination import Ownership
 from tealhook.jobs.attempt import Attempt
-from tealhook.jobs.index import JobEntry, JobIndex
+from tealhook.jobs.index import JobIndex
 from tealhook.jobs.job import Job
+from tealhook.jobs.job_entry import JobEntry
 from tealhook.jobs.team import TeamState
 from tealhook.loop.effects import every
 from tealhook.mesh import Mesh
@@ -222,7 +223,7 @@
 
     # -- sums for gossip
 
-    def progress(self) -> dict[str, tuple[int, int]]:
+    def progress(self) -> dict[str, wire.JobProgress]:
         """Tasks done and tasks running, by job."""
         return self._demand.progress()
 
