--- a/tealhook/context.py
+++ b/tealhook/context.py
@@ -1,4 +1,4 @@
-"""What every component of a controller is built on: clock, chance and calls, the settings, and the policy."""
+"""The context of every component of a controller: clock, random numbers and calls, settings, and policy."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
     """The operators' policy, evaluated over the settings and the machine types on offer."""
 
     def __init__(self, policy: Policy, settings: Settings, machine_types: Mapping[str, MachineType]) -> None:
-        """`machine_types` is read at each evaluation: they become known, and change, while the process runs."""
+        """`machine_types` is read at each evaluation: it is filled, and changes, while the process runs."""
         self._policy = policy
         self._params = settings.params
         self._machine_types = machine_types
@@ -51,7 +51,7 @@
 
 @dataclass(frozen=True, slots=True)
 class NodeContext:
-    """What is the same for all components of one controller process."""
+    """The context that all components of one controller process share."""
 
     effects: Effects
     settings: Settings
--- a/tealhook/mesh/transport.py
+++ b/tealhook/mesh/transport.py
@@ -12,9 +12,11 @@
 
 log = logging.getLogger(__name__)
 
-HEAD = 4
+LENGTH_BYTES = 4  # of the length before each frame
 MAX_QUEUED = 2 * MAX_FRAME  # to a peer that does not read; the gossip of thousands of machines is one frame
-MAX_BATCH = 32 * 1024
+MAX_BATCH = 32 * 1024  # bytes of frames that wait to go out together
+BACKLOG = 32  # connections that peers may open at once
+INCOMING_PER_PEER = 4  # connections: after a network cut a peer opens new ones beside old ones that hang
 
 
 class _FrameParser:
@@ -26,14 +28,14 @@
     def feed(self, data: bytes) -> list[bytes] | None:
         self._buffer += data
         frames = []
-        while len(self._buffer) >= HEAD:
-            size = int.from_bytes(self._buffer[:HEAD], "big")
+        while len(self._buffer) >= LENGTH_BYTES:
+            size = int.from_bytes(self._buffer[:LENGTH_BYTES], "big")
             if size > MAX_FRAME:
                 return None
-            if len(self._buffer) < HEAD + size:
+            if len(self._buffer) < LENGTH_BYTES + size:
                 break
-            frames.append(bytes(self._buffer[HEAD : HEAD + size]))
-            del self._buffer[: HEAD + size]
+            frames.append(bytes(self._buffer[LENGTH_BYTES : LENGTH_BYTES + size]))
+            del self._buffer[: LENGTH_BYTES + size]
         return frames
 
 
@@ -57,10 +59,10 @@
         self._batching_s = batching_s
         self._batches: dict[str, bytearray] = {}
         self._connections: dict[str, Stream] = {}
-        self._begun: dict[str, float] = {}
+        self._connecting_since: dict[str, float] = {}  # peer -> when its present connection was begun
         self._incoming: set[Stream] = set()
-        self._max_incoming = 4 * max(1, len(peers))
-        self._sock = listen(addr, 32)
+        self._max_incoming = INCOMING_PER_PEER * max(1, len(peers))
+        self._sock = listen(addr, BACKLOG)
         loop.watch(self._sock, 1, self._accept)
 
     def send(self, peer: str, frame: bytes, soon: bool = False) -> None:
@@ -74,33 +76,39 @@
             batch = self._batches[peer] = bytearray()
         if soon and not batch:
             self._loop.later(self._batching_s, lambda: self._flush(peer))
-        batch += len(frame).to_bytes(HEAD, "big") + frame
+        batch += len(frame).to_bytes(LENGTH_BYTES, "big") + frame
         if not soon or len(batch) > MAX_BATCH:
             self._flush(peer)
 
     def _flush(self, peer: str) -> None:
+        """Write the frames that wait for a peer, on a new connection if there is none."""
         data = self._batches.get(peer)
         if not data:
             return
         self._batches[peer] = bytearray()
+        connection = self._usable_connection(peer) or self._connect(peer)
+        if connection is not None:
+            connection.write(bytes(data))
+
+    def _usable_connection(self, peer: str) -> Stream | None:
+        """The connection to a peer, unless it is closed or has taken too long to come about."""
         connection = self._connections.get(peer)
-        if (
-            connection is not None
-            and not connection.connected
-            and self._loop.now() - self._begun[peer] > self._connect_timeout_s
-        ):
+        if connection is None:
+            return None
+        if not connection.connected and self._loop.now() - self._connecting_since[peer] > self._connect_timeout_s:
             connection.close()
-            connection = None
-        if connection is None or connection.closed:
-            connection = Stream.connect(self._loop, self._peers[peer], MAX_QUEUED)
-            if connection is None:
-                return
+            return None
+        return None if connection.closed else connection
+
+    def _connect(self, peer: str) -> Stream | None:
+        connection = Stream.connect(self._loop, self._peers[peer], MAX_QUEUED)
+        if connection is not None:
             self._connections[peer] = connection
-            self._begun[peer] = self._loop.now()
-        connection.write(bytes(data))
+            self._connecting_since[peer] = self._loop.now()
+        return connection
 
     def reset(self, peer: str) -> None:
-        """Close the connection to a silent peer, which may hang; the next frame opens a new one."""
+        """Close the connection to a peer that is not heard, since it may hang; the next frame opens a new one."""
         connection = self._connections.pop(peer, None)
         if connection is not None:
             connection.close()
@@ -116,16 +124,15 @@
                 oldest = next(iter(self._incoming))
                 oldest.close()
             stream = Stream(self._loop, sock)
-            frames = _FrameParser()
             self._incoming.add(stream)
             stream.on_close = partial(self._incoming.discard, stream)
-            stream.on_data = partial(self._data, stream, frames)
+            stream.on_data = partial(self._on_data, stream, _FrameParser())
 
-    def _data(self, stream: Stream, frames: _FrameParser, data: bytes) -> None:
-        whole = frames.feed(data)
-        if whole is None:
+    def _on_data(self, stream: Stream, parser: _FrameParser, data: bytes) -> None:
+        frames = parser.feed(data)
+        if frames is None:
             log.error("mesh: frame too large")
             stream.close()
             return
-        for frame in whole:
+        for frame in frames:
             self._on_frame(frame)
--- a/tealhook/runtime.py
+++ b/tealhook/runtime.py
@@ -1,4 +1,4 @@
-"""The real world behind `Effects`: sockets, clock and chance."""
+"""The process of a controller: sockets, clock and random numbers behind `Effects`, and its start."""
 
 from __future__ import annotations
 
@@ -22,14 +22,20 @@
 STATE_CONNECTIONS = 12
 CLOUD_CONNECTIONS = 4
 WORKER_CONNECTIONS = 1
-WORKERS_SHARE = 1 / 16  # of the connections: for direct calls to workers
+WORKER_CALLS_SHARE = 1 / 16  # of the connections: for direct calls to workers
 ANSWER_SHARE = 1 / 16  # of the memory: the largest answer of the state service that is taken
-LEAST_ANSWER_BYTES = 4 << 20
+MIN_ANSWER_BYTES = 4 << 20
+MIN_WORKER_CALLS = 16
+MESH_CONNECTIONS_PER_PEER = 8  # both ways, with old ones that hang after a network cut
+SPARE_FILES = 16  # for everything else that takes a file descriptor
+MIN_SERVER_CONNECTIONS = 16
+MIN_IDLE_S = 60.0  # before an idle connection is closed
+GC_THRESHOLDS = (20000, 20, 50)
 
 
-def most_direct_calls(settings: Settings) -> int:
-    """How many workers may be called directly at the same time."""
-    return max(16, int(settings.params.limits.max_connections * WORKERS_SHARE))
+def max_worker_calls(settings: Settings) -> int:
+    """How many workers may be called at the same time."""
+    return max(MIN_WORKER_CALLS, int(settings.params.limits.max_connections * WORKER_CALLS_SHARE))
 
 
 class Runtime:
@@ -46,11 +52,11 @@
             self.loop,
             settings.services.state,
             max_connections=STATE_CONNECTIONS,
-            max_body=max(LEAST_ANSWER_BYTES, int(limits.mem_mb * 2**20 * ANSWER_SHARE)),
+            max_body=max(MIN_ANSWER_BYTES, int(limits.mem_mb * 2**20 * ANSWER_SHARE)),
         )
         self._cloud = HttpClient(self.loop, settings.services.cloud, max_connections=CLOUD_CONNECTIONS, max_idle=1)
         self._workers: dict[str, HttpClient] = {}
-        self.most_workers = most_direct_calls(settings)
+        self.max_worker_calls = max_worker_calls(settings)
         self.transport: MeshTransport  # set by `serve` before anything is sent: it needs the controller
 
     def later(self, delay: float, call: Callable[[], Any]) -> Timer:
@@ -66,10 +72,10 @@
         self._cloud.request(method, target, body, timeout, answer)
 
     def worker(self, addr: str, method: str, target: str, body: bytes | None, timeout: float, answer: Answer) -> None:
-        """Call a worker. At most `most_workers` of them have connections; an idle one makes way for a new one."""
+        """Call a worker. At most `max_worker_calls` of them have connections; an idle one makes way for a new one."""
         client = self._workers.pop(addr, None)
         if client is None:
-            if len(self._workers) >= self.most_workers:
+            if len(self._workers) >= self.max_worker_calls:
                 idle = next((addr for addr, client in self._workers.items() if client.idle), None)
                 if idle is None:  # no call in progress is given up for a new one: the new one fails
                     self.loop.later(0.0, lambda: answer(None, b""))
@@ -88,40 +94,56 @@
     """Run a controller until the process is killed."""
     runtime = Runtime(settings)
     controller = Controller(runtime, settings, policy)
-    lease_s = settings.params.workers.lease_s
-    runtime.transport = MeshTransport(
-        runtime.loop,
+    runtime.transport = _open_mesh_transport(runtime.loop, settings, controller)
+    server = _open_http_server(runtime, settings, controller)
+    controller.partition_manager.crowded = lambda: server.crowded
+    _reconnect_unheard_peers(runtime, settings, controller)
+    controller.start()
+    log.info(
+        "%s serves users and workers at %s, controllers at %s", settings.node, settings.api_addr, settings.mesh_addr
+    )
+    _tune_garbage_collection()
+    runtime.loop.run()
+
+
+def _open_mesh_transport(loop: Loop, settings: Settings, controller: Controller) -> MeshTransport:
+    workers = settings.params.workers
+    return MeshTransport(
+        loop,
         settings.mesh_addr,
         settings.peers,
         controller.mesh.on_frame,
-        lease_s / 8,
-        settings.params.workers.report_s / 50,
+        connect_timeout_s=workers.lease_s / 8,
+        batching_s=workers.report_s / 50,
     )
-    spare = STATE_CONNECTIONS + CLOUD_CONNECTIONS + runtime.most_workers + 8 * max(1, len(settings.peers)) + 16
-    users = max(16, settings.params.limits.max_connections - spare)
-    server = HttpServer(
+
+
+def _open_http_server(runtime: Runtime, settings: Settings, controller: Controller) -> HttpServer:
+    """Listen for users and workers; they get the connections that nothing else may need."""
+    own_connections = STATE_CONNECTIONS + CLOUD_CONNECTIONS + runtime.max_worker_calls
+    mesh_connections = MESH_CONNECTIONS_PER_PEER * max(1, len(settings.peers))
+    spare = own_connections + mesh_connections + SPARE_FILES
+    return HttpServer(
         runtime.loop,
         settings.api_addr,
         controller.on_request,
-        max_connections=users,
-        idle_s=max(60.0, 4 * lease_s),
+        max_connections=max(MIN_SERVER_CONNECTIONS, settings.params.limits.max_connections - spare),
+        idle_s=max(MIN_IDLE_S, 4 * settings.params.workers.lease_s),
         short_when_crowded=HEARTBEAT_PATH,
     )
-    controller.partition_manager.crowded = lambda: server.crowded
 
-    def reconnect_unheard_peers() -> None:
-        """Reconnect to peers not heard lately: after a network cut the old connection may hang for minutes."""
-        for peer in settings.peers:
-            if controller.mesh.seconds_since_heard(peer) > lease_s / 4:
-                runtime.transport.reset(peer)
-        runtime.loop.later(lease_s / 8, reconnect_unheard_peers)
 
-    reconnect_unheard_peers()
-    controller.start()
-    log.info(
-        "%s serves users and workers at %s, controllers at %s", settings.node, settings.api_addr, settings.mesh_addr
-    )
+def _reconnect_unheard_peers(runtime: Runtime, settings: Settings, controller: Controller) -> None:
+    """Reconnect to peers not heard lately, again and again: after a network cut a connection may hang for minutes."""
+    lease_s = settings.params.workers.lease_s
+    for peer in settings.peers:
+        if controller.mesh.seconds_since_heard(peer) > lease_s / 4:
+            runtime.transport.reset(peer)
+    runtime.loop.later(lease_s / 8, lambda: _reconnect_unheard_peers(runtime, settings, controller))
+
+
+def _tune_garbage_collection() -> None:
+    """Leave what exists at the start out of collections, and collect the rest less often."""
     gc.collect()
     gc.freeze()
-    gc.set_threshold(20000, 20, 50)
-    runtime.loop.run()
+    gc.set_threshold(*GC_THRESHOLDS)
--- a/tealhook/wire/cloud.py
+++ b/tealhook/wire/cloud.py
@@ -37,11 +37,11 @@
 
     @property
     def resources(self) -> Resources:
-        """What an empty machine of this type has."""
+        """The capacity of an empty machine of this type."""
         return Resources(self.vcpus, self.gpus, self.memory_gb)
 
     def fits(self, needed: Resources) -> bool:
-        """Whether one task that takes `needed` fits an empty machine of this type."""
+        """Whether one task that needs `needed` fits an empty machine of this type."""
         return needed.vcpus <= self.vcpus and needed.gpus <= self.gpus and needed.memory_gb <= self.memory_gb
 
 
--- a/tealhook/wire/common.py
+++ b/tealhook/wire/common.py
@@ -13,7 +13,7 @@
 
 
 class Resources(NamedTuple):
-    """What a task takes of its machine, or a machine has: an immutable amount of each."""
+    """Immutable amounts of resources: what a task needs, or what a machine has."""
 
     vcpus: float
     gpus: float
--- a/tealhook/wire/state.py
+++ b/tealhook/wire/state.py
@@ -11,7 +11,7 @@
 
 
 class KeyValue(msgspec.Struct):
-    """A key with its value; `stamp` is the revision of its last change, `hold` the lease that it ends with."""
+    """A key with its value, the revision of its last change, and the lease with which it ends, if any."""
 
     key: str = msgspec.field(name="path")
     value: Any = msgspec.field(name="v")
@@ -20,7 +20,7 @@
 
 
 class KeyRange(msgspec.Struct):
-    """One page of a list, as of revision `epoch`."""
+    """One page of a list, as of a revision."""
 
     items: list[KeyValue] = msgspec.field(name="rows")
     more: bool = False
@@ -28,7 +28,7 @@
 
 
 class Absent(msgspec.Struct):
-    """No such key as of revision `epoch`."""
+    """There is no such key as of a revision."""
 
     revision: int = msgspec.field(name="epoch")
 
@@ -40,20 +40,20 @@
 
 
 class Committed(msgspec.Struct):
-    """A transaction was executed as revision `epoch`."""
+    """A transaction was executed, as a revision of its own."""
 
     revision: int = msgspec.field(name="epoch")
 
 
 class Conflict(msgspec.Struct):
-    """A transaction was not executed: the keys whose conditions failed."""
+    """A transaction was not executed; `failed_keys`: those whose conditions failed."""
 
     failed_keys: list[str] = msgspec.field(name="failed")
     revision: int = msgspec.field(default=0, name="epoch")
 
 
 class WatchEvent(msgspec.Struct):
-    """A change of one key: `write` names a key put, `drop` one deleted."""
+    """A change of one key, which was put or deleted."""
 
     put_key: str | None = msgspec.field(default=None, name="write")
     deleted_key: str | None = msgspec.field(default=None, name="drop")
@@ -67,7 +67,7 @@
 
 
 class WatchReply(msgspec.Struct):
-    """Changes since the revision asked for, up to revision `epoch`."""
+    """All changes since the requested revision, up to `revision`."""
 
     revision: int = msgspec.field(name="epoch")
     events: list[WatchEvent] = []
--- a/tealhook/wire/users.py
+++ b/tealhook/wire/users.py
@@ -1,4 +1,4 @@
-"""Users -> controllers: jobs as submitted, and what is answered about them.
+"""Users -> controllers: jobs as submitted, and the answers about them.
 
 Field names are the field's terms; `name=` gives the name that the protocol has for each of them.
 """
@@ -27,7 +27,7 @@
 
 
 class JobPriority(enum.StrEnum):
-    """What a job goes before, the least first. Not the priority of a call to the state service."""
+    """How urgent a job is, the least first. Not the priority of a call to the state service."""
 
     LOW = "low"
     STANDARD = "standard"
@@ -45,7 +45,7 @@
 
 
 class DisplayedStatus(enum.StrEnum):
-    """The status of a job as its user is told; one that is over has the status of its record."""
+    """The status of an active job as its user sees it; a job that has ended has the status of its record."""
 
     PENDING = "pending"
     RUNNING = "running"
--- a/tealhook/wire/workers.py
+++ b/tealhook/wire/workers.py
@@ -36,7 +36,7 @@
 
 
 class CommandAction(enum.StrEnum):
-    """What a worker is told to do with a task."""
+    """What a worker is to do with a task."""
 
     START = "launch"
     STOP = "kill"
