--- a/tealhook/fleet/machine_types.py
+++ b/tealhook/fleet/machine_types.py
@@ -32,7 +32,7 @@
 from tealhook.state_store import CallPriority, Outcome, StateClient
 from tealhook.wire import state as state_wire
 from tealhook.wire.cloud import MachineType
-from tealhook.wire.common import dumps
+from tealhook.wire.common import encode_json
 
 log = logging.getLogger("tealhook.fleet")
 
@@ -142,12 +142,12 @@
 def _fill(first: TypesRecord, rigs: list[MachineType], most_bytes: int) -> list[TypesRecord]:
     """The first record and those that go on with what it can't hold."""
     records = [first]
-    size = len(dumps(records[0]))
+    size = len(encode_json(records[0]))
     for machine_type in rigs:
-        added = len(dumps(machine_type)) + 1  # with a comma
+        added = len(encode_json(machine_type)) + 1  # with a comma
         if records[-1].rigs and size + added > most_bytes:
             records.append(TypesRecord([]))
-            size = len(dumps(records[-1]))
+            size = len(encode_json(records[-1]))
         size += added if records[-1].rigs else added - 1
         records[-1].rigs.append(machine_type)
     return records
@@ -181,7 +181,7 @@
     """The changes that one transaction of at most `most` operations may hold, and the rest."""
     size = count = 0
     while count < min(most, len(changes)):
-        size += len(dumps(changes[count].operation))
+        size += len(encode_json(changes[count].operation))
         if count and size > TXN_BYTES:
             break
         count += 1
--- a/tealhook/fleet/manager.py
+++ b/tealhook/fleet/manager.py
@@ -169,7 +169,7 @@
 
     def _is_unreliable(self, state: mesh_wire.MachineState) -> bool:
         """Whether a machine is not counted on: it is to go, fails its tasks, or is silent."""
-        return state.terminating or state.unhealthy or state.silent_s > self._settings.params.workers.lease_s
+        return state.terminating or state.unhealthy or state.heartbeat_age_s > self._settings.params.workers.lease_s
 
 
 def _log_balance(supply: Supply, need: Need, ready: float, demand: list[mesh_wire.Demand]) -> None:
--- a/tealhook/fleet/releasing.py
+++ b/tealhook/fleet/releasing.py
@@ -8,7 +8,7 @@
 from tealhook.fleet.machines import RentedMachine
 from tealhook.wire import cloud as wire
 from tealhook.wire import mesh as mesh_wire
-from tealhook.wire.common import dumps
+from tealhook.wire.common import encode_json
 
 log = logging.getLogger("tealhook.fleet")
 
@@ -56,7 +56,7 @@
                 self._dead[name] = self._effects.now()
             self._on_gone(names)
 
-        self._call("POST", "/rentals/release", dumps({"boxes": names}), answer)
+        self._call("POST", "/rentals/release", encode_json({"boxes": names}), answer)
 
     def _watch_health(self, states: dict[str, mesh_wire.MachineState], zones: set[str], now: float) -> None:
         """Fence machines that are silent, taken back, or never came up."""
@@ -87,7 +87,7 @@
             silence_s = 1.5 * workers.report_s
         elif machine.missing_since is not None:
             silence_s = 2 * workers.report_s
-        return state.silent_s > silence_s or (state.terminating and state.drained)
+        return state.heartbeat_age_s > silence_s or (state.terminating and state.drained)
 
     def _is_missing(self, machine: RentedMachine, now: float) -> bool:
         """Whether a machine that no part's owner tells of is to be released."""
--- a/tealhook/fleet/renting.py
+++ b/tealhook/fleet/renting.py
@@ -14,7 +14,7 @@
 from tealhook.fleet.sizing import Shortage, Supply
 from tealhook.wire import cloud as wire
 from tealhook.wire import mesh as mesh_wire
-from tealhook.wire.common import dumps
+from tealhook.wire.common import encode_json
 
 log = logging.getLogger("tealhook.fleet")
 
@@ -122,7 +122,7 @@
             if self._renting is None and not self._ownership.lease_uncertain:
                 self._rent_rest()  # from elsewhere
 
-        self._call("POST", "/rentals", dumps(rental), answer)
+        self._call("POST", "/rentals", encode_json(rental), answer)
 
     def _take_answer(self, rental: wire.RentalRequest, status: int | None, body: bytes) -> None:
         """Act on the answer to a rental; one that may have been carried out is sent again."""
--- a/tealhook/gossip/fleet_inputs.py
+++ b/tealhook/gossip/fleet_inputs.py
@@ -71,5 +71,5 @@
         snapshot.zones.add(zone)
         for state in states:
             earlier = snapshot.machines.get(state.name)
-            if earlier is None or state.silent_s < earlier.silent_s:
+            if earlier is None or state.heartbeat_age_s < earlier.heartbeat_age_s:
                 snapshot.machines[state.name] = state
--- a/tealhook/wire/mesh/fleet.py
+++ b/tealhook/wire/mesh/fleet.py
@@ -37,7 +37,7 @@
     spot: bool
     used_cpus: float
     empty_s: float  # estimated seconds until its tasks have ended
-    silent_s: float
+    heartbeat_age_s: float  # seconds since its last heartbeat
     terminating: bool
     drained: bool  # given nothing more, and empty
     unhealthy: bool
--- a/tealhook/wire/mesh/reconciliation.py
+++ b/tealhook/wire/mesh/reconciliation.py
@@ -20,7 +20,7 @@
 
 
 class StatusUpdate(msgspec.Struct, tag="news"):
-    """All tasks of one team on one machine, as of its heartbeat (`session`, `report_sequence`).
+    """All tasks of one team on one machine, as of its heartbeat (`session`, `heartbeat_sequence`).
 
     `sequence` numbers the updates of a partition's owner under one token, since two connections may deliver them out
     of order.
@@ -32,7 +32,7 @@
     sequence: int = msgspec.field(name="seq")
     machine: str
     session: int = msgspec.field(name="shift")
-    report_sequence: int = msgspec.field(name="tick")
+    heartbeat_sequence: int = msgspec.field(name="tick")
     tasks: list[ObservedTask] = msgspec.field(name="seen")
 
 
