--- a/tealhook/controller.py
+++ b/tealhook/controller.py
@@ -52,8 +52,7 @@
             self.job_index,
             self.mesh,
             self.machine_types,
-            self._send_status_update,
-            self._on_unknown_job,
+            observer=self,
         )
         self.team_scheduler = TeamScheduler(context, self.ownership, self.state_client, self.job_index, self.mesh)
         self.fleet_manager = FleetManager(
@@ -95,7 +94,6 @@
         self.ownership.is_unheard = self.partition_manager.is_unheard
         self.ownership.listener = self._on_ownership_change
         self.job_index.listener = self._on_job_changed
-        self.partition_manager.on_zone = self._on_zone
 
     def start(self) -> None:
         """Begin to read the state service, to claim ownership keys, and to gossip twice per heartbeat period."""
@@ -112,7 +110,7 @@
         elif key.startswith(TEAM_PREFIX):
             self.team_scheduler.on_ownership_change(key[len(TEAM_PREFIX) :], token)
 
-    def _on_zone(self, zone: str) -> None:
+    def on_zone(self, zone: str) -> None:
         """A heartbeat names a zone: it gets an ownership key, unless the name is malformed or zones are too many."""
         is_valid = 0 < len(zone) <= MAX_ZONE_LENGTH and not any(c.isspace() or c == "/" for c in zone)
         if is_valid and len(self.ownership.zones()) < MAX_ZONES:
@@ -123,7 +121,8 @@
             self._progress.pop(job, None)
         self.team_scheduler.on_job_changed(job)
 
-    def _send_status_update(self, team: str, update: wire.StatusUpdate) -> None:
+    def publish_status(self, team: str, update: wire.StatusUpdate) -> None:
+        """Send a status update to the node that owns a team's scheduler; none is sent while no node does."""
         owner = self.ownership.owner(team_key(team))
         if owner is not None:
             self.mesh.send(owner, update)
@@ -131,7 +130,7 @@
     def _on_machines_released(self, machines: list[str]) -> None:
         self.mesh.broadcast(wire.MachinesReleased(machines))
 
-    def _on_unknown_job(self, job: str) -> None:
+    def on_unknown_job(self, job: str) -> None:
         """A worker has a task of a job that is not in our job index: read the job's record from the state service."""
         now = self.context.effects.now()
         if now - self._last_read_at.get(job, -1e9) < self.context.workers.lease_s / 8 or not self.job_index.synced:
--- a/tealhook/jobs/index.py
+++ b/tealhook/jobs/index.py
@@ -118,8 +118,7 @@
     def __init__(self, context: NodeContext, store: StateClient) -> None:
         """An empty view; `start` fills it and keeps it up to date."""
         self._effects = context.effects
-        memory_bytes = context.settings.params.limits.mem_mb * 2**20
-        self._max_ended = max(LEAST_ENDED, int(memory_bytes * ENDED_SHARE / ENDED_BYTES))
+        self._max_ended = max(LEAST_ENDED, int(context.settings.params.limits.memory_bytes(ENDED_SHARE) / ENDED_BYTES))
         self.is_complete = (
             True  # no job has been forgotten, and no record was unreadable: what is lacking does not exist
         )
--- a/tealhook/mesh_handler.py
+++ b/tealhook/mesh_handler.py
@@ -91,9 +91,9 @@
             return
         match body:
             case wire.CapacityInquiry():
-                reply(partition.capacity.inquire(body.requirements))
+                reply(partition.inquire(body.requirements))
             case wire.ReserveRequest():
-                reply(partition.capacity.reserve(body))
+                reply(partition.reserve(body))
             case wire.LaunchRequest():
                 reply(_launch(partition, body))
             case wire.ReconcileRequest():
--- a/tealhook/partitions/__init__.py
+++ b/tealhook/partitions/__init__.py
@@ -1,4 +1,4 @@
-"""Parts: the machines of one zone, their reports, room, commands and drain."""
+"""Partitions: the machines of one zone, their heartbeats, capacity, commands and drain."""
 
 from tealhook.partitions.manager import PartitionManager
 
--- a/tealhook/partitions/commands.py
+++ b/tealhook/partitions/commands.py
@@ -1,201 +1,192 @@
-"""What workers are told to do: launches of what was reserved, kills and clears, by answer or directly."""
+"""Commands to workers: starts on reservations, stops and forgets, in responses to heartbeats or directly."""
 
 from __future__ import annotations
 
-from collections.abc import Callable
-
-from tealhook.context import NodeContext
-from tealhook.jobs.index import JobIndex, JobState
-from tealhook.partitions.capacity import CapacityManager
-from tealhook.partitions.machine import Machine, MachineTask, capacity, fits
-from tealhook.partitions.status_updates import Updates
-from tealhook.partitions.worker_calls import DIRECT_S, ignore
+from tealhook.jobs.index import JobState
+from tealhook.partitions.interfaces import HeartbeatResponder
+from tealhook.partitions.launched_jobs import LaunchedJobs
+from tealhook.partitions.machine import AttemptKey, Machine, MachineTask, ReservationState, fits, subtract
+from tealhook.partitions.reservations import Reservations
+from tealhook.partitions.state import PartitionState
+from tealhook.partitions.status_updates import StatusUpdates
+from tealhook.partitions.worker_calls import DIRECT_CALL_TIMEOUT_S, ignore_answer
 from tealhook.wire import mesh
 from tealhook.wire import workers as wire
 from tealhook.wire.cloud import MachineType
-from tealhook.wire.common import dumps
+from tealhook.wire.common import Resources, dumps
 
-OVER = (JobState.CANCELLED, JobState.DONE)
-MAX_ORDERS = 300  # keeps a response far below the line limit
+ENDED_STATES = (JobState.CANCELLED, JobState.DONE)
+MAX_COMMANDS = 300  # keeps a response far below the line limit
 
 
 class Commands:
-    """Commands to the workers of one part.
+    """Commands to the workers of one partition.
 
-    Launches ride on answers to reports alone: one sent directly could be executed minutes late. Kills go both ways,
+    Starts ride on responses to heartbeats alone: one sent directly could be executed minutes late. Stops go both ways,
     since they may be repeated and come late: attempts never return.
     """
 
     def __init__(
         self,
-        context: NodeContext,
-        token: int,
-        job_index: JobIndex,
-        types: dict[str, MachineType],
-        machines: dict[str, Machine],
-        room: CapacityManager,
-        updates: Updates,
+        state: PartitionState,
+        reservations: Reservations,
+        launched_jobs: LaunchedJobs,
+        status_updates: StatusUpdates,
+        responder: HeartbeatResponder,
     ) -> None:
-        """Commands under `token`; answers to launches are numbered among `updates`."""
-        self._effects = context.effects
-        self._token = token
-        self._job_index = job_index
-        self._types = types
-        self._machines = machines
-        self._capacity = room
-        self._updates = updates
-        # Answer a machine's report now, if its answer is still open (see `Partition.patience`); whether it was.
-        self.answer_now: Callable[[str], bool] = lambda _name: False
-        self.may_not_launch: Callable[[], bool] = lambda: (
-            False
-        )  # whether we may own nothing any more, or know too little
+        """Replies to launch requests are numbered among `status_updates`; `responder` holds the open heartbeats."""
+        self._effects = state.context.effects
+        self._token = state.token
+        self._job_index = state.job_index
+        self._machine_types = state.machine_types
+        self._machines = state.machines
+        self._reservations = reservations
+        self._launched_jobs = launched_jobs
+        self._status_updates = status_updates
+        self._responder = responder
 
     def commands_for(self, machine: Machine) -> list[wire.Command]:
-        """What a machine is told in answer to its report: kills, clears, and launches for which there is room."""
+        """The commands in response to a machine's heartbeat: stops, forgets, and starts of what fits."""
         commands: list[wire.Command] = []
         status = self._job_index.status
         for key, task in machine.tasks.items():
             if task.alive:
-                if status(task.job) in OVER:
+                if status(task.job) in ENDED_STATES:
                     machine.pending_stops.setdefault(key, 0.0)
                 if key in machine.pending_stops:
                     commands.append(
                         wire.Command(wire.CommandAction.STOP, task.task, task.attempt, machine.pending_stops[key])
                     )
-            elif key in machine.pending_forgets or status(task.job) in OVER:
+            elif key in machine.pending_forgets or status(task.job) in ENDED_STATES:
                 commands.append(wire.Command(wire.CommandAction.FORGET, task.task, task.attempt))
-        machine_type = self._types.get(machine.machine_type)
-        if machine_type is not None and not self.may_not_launch():
-            self._add_launches(machine, machine_type, commands)
-        return commands[:MAX_ORDERS]
-
-    def _add_launches(self, machine: Machine, machine_type: MachineType, commands: list[wire.Command]) -> None:
-        """Launch what fits beside the tasks that are still there, whatever was reserved."""
-        room: list[float] | None = None
+        machine_type = self._machine_types.get(machine.machine_type)
+        if machine_type is not None and not self._responder.may_not_launch():
+            self._add_starts(machine, machine_type, commands)
+        return commands[:MAX_COMMANDS]
+
+    def _add_starts(self, machine: Machine, machine_type: MachineType, commands: list[wire.Command]) -> None:
+        """Start what fits beside the tasks that are still there, whatever was reserved."""
+        free: Resources | None = None
         for reservation in machine.list_reservations():
-            if not reservation.launching or len(commands) >= MAX_ORDERS:
+            if not reservation.launching or len(commands) >= MAX_COMMANDS:
                 continue
-            if reservation.revoked or self._job_index.status(reservation.job) in OVER:
-                reservation.revoked = True
+            if reservation.revoked or self._job_index.status(reservation.job) in ENDED_STATES:
+                reservation.state = ReservationState.REVOKED
                 if not reservation.send_count:
-                    self._capacity.drop_reservation(machine, reservation)
+                    self._reservations.drop(machine, reservation)
                 continue
-            if room is None:
-                room = self._resources_left(machine, machine_type)
-            if fits(room, reservation.resources):
-                for i in range(3):
-                    room[i] -= reservation.resources[i]
+            if free is None:
+                free = self._free_beside_tasks(machine, machine_type)
+            if fits(free, reservation.resources):
+                free = subtract(free, reservation.resources)
                 reservation.send_count += 1
                 commands.append(wire.Command(wire.CommandAction.START, reservation.task, reservation.attempt))
 
-    def _resources_left(self, machine: Machine, machine_type: MachineType) -> list[float]:
-        """Room besides the tasks on a machine that won't exit as soon as they are told to."""
-        room = capacity(machine_type)
+    def _free_beside_tasks(self, machine: Machine, machine_type: MachineType) -> Resources:
+        """What is free besides the tasks on a machine that won't exit as soon as they are told to."""
+        free = machine_type.resources
         for key, task in machine.tasks.items():
             if task.alive and not (
                 key in machine.pending_stops and self._exits_at_once(task, machine.pending_stops[key])
             ):
-                need = self._capacity.resources_of(task.job) or (
-                    machine_type.vcpus,
-                    machine_type.gpus,
-                    machine_type.memory_gb,
-                )
-                for i in range(3):
-                    room[i] -= need[i]
-        return room
+                # A task that nobody here knows may take all of it.
+                free = subtract(free, self._launched_jobs.resources_of(task.job) or machine_type.resources)
+        return free
+
+    def _exits_at_once(self, task: MachineTask, grace_period_s: float) -> bool:
+        entry = self._job_index.active.get(task.job)
+        if entry is None:
+            return grace_period_s <= 0
+        return (
+            entry.spec.checkpoint_interval_s <= 0
+            or grace_period_s < entry.spec.checkpoint_s
+            or task.status == wire.TaskStatus.FETCHING
+        )
 
     def _stop_directly(self, machine: Machine) -> None:
-        """Send a machine's kills directly: harmless to repeat or to execute late, since attempts never return.
+        """Send a machine's stops directly: harmless to repeat or to execute late, since attempts never return.
 
-        The worker reports such a change at once, so that the launch for which room is made rides on that
-        response. (Direct clears do not make it report: tried and measured. Launches are never sent directly.)
+        The worker reports such a change at once, so that the start for which resources are freed rides on that
+        response. (Direct forgets do not make it report: tried and measured. Starts are never sent directly.)
         """
-        if self.answer_now(machine.name):
-            return  # they ride on the answer to a report
+        if self._responder.answer_now(machine.name):
+            return  # they ride on the response to a heartbeat
         commands = [
-            wire.Command(wire.CommandAction.STOP, key[0], key[1], wind_down)
-            for key, wind_down in machine.pending_stops.items()
+            wire.Command(wire.CommandAction.STOP, key.task, key.attempt, grace_period_s)
+            for key, grace_period_s in machine.pending_stops.items()
             if key in machine.tasks and machine.tasks[key].alive
         ]
         if commands:
-            body = dumps(wire.CommandBatch(self._token, commands[:MAX_ORDERS], machine.session))
-            self._effects.worker(machine.address, "POST", "/orders", body, DIRECT_S, ignore)
-
-    def _exits_at_once(self, task: MachineTask, wind_down: float) -> bool:
-        known = self._job_index.active.get(task.job)
-        if known is None:
-            return wind_down <= 0
-        return (
-            known.spec.checkpoint_interval_s <= 0
-            or wind_down < known.spec.checkpoint_s
-            or task.status == wire.TaskStatus.FETCHING
-        )
+            body = dumps(wire.CommandBatch(self._token, commands[:MAX_COMMANDS], machine.session))
+            self._effects.worker(machine.address, "POST", "/orders", body, DIRECT_CALL_TIMEOUT_S, ignore_answer)
 
     def launch(self, request: mesh.LaunchRequest) -> mesh.LaunchReply:
         """Use reservations after their assignment is durable. Each reservation serves once."""
         refused = []
-        killing: dict[str, Machine] = {}
+        stopping: dict[str, Machine] = {}
         launching: dict[str, None] = {}  # in order: seeded runs must go the same way every time
-        current = self._capacity.accept_team_token(request.team, request.team_token)
+        is_current = self._reservations.accept_team_token(request.team, request.team_token)
         for start in request.starts:
-            machine = self._capacity.machine_of_reservation(start.reservation_id)
+            machine = self._reservations.machine_of(start.reservation_id)
             reservation = machine.reservations.get(start.reservation_id) if machine is not None else None
             if (
                 machine is None
                 or reservation is None
-                or not current
+                or not is_current
                 or reservation.launching
                 or reservation.job != start.job
                 or machine.terminating
-                or self._job_index.status(start.job) in OVER
+                or self._job_index.status(start.job) in ENDED_STATES
             ):
                 if machine is not None and reservation is not None and not reservation.launching:
-                    self._capacity.drop_reservation(machine, reservation)
+                    self._reservations.drop(machine, reservation)
                 refused.append(start.reservation_id)
                 continue
-            reservation.index, reservation.attempt, reservation.launching = start.index, start.attempt, True
+            reservation.index, reservation.attempt = start.index, start.attempt
+            reservation.state = ReservationState.LAUNCHING
             machine.changed = True
             launching[machine.name] = None
-            self._capacity.remember_launch(reservation.job, reservation.team, reservation.resources)
+            self._launched_jobs.remember(reservation.job, reservation.team, reservation.resources)
             for victim in reservation.victims:
-                task = machine.tasks.get(victim)
-                known = self._job_index.active.get(task.job) if task else None
-                machine.pending_stops[victim] = (
-                    known.spec.checkpoint_s if known and known.spec.checkpoint_interval_s > 0 else 0.0
-                )
-                killing[machine.name] = machine
-        for machine in killing.values():
+                machine.pending_stops[victim] = self._preemption_grace_s(machine.tasks.get(victim))
+                stopping[machine.name] = machine
+        for machine in stopping.values():
             self._stop_directly(machine)
         for name in launching:
-            self.answer_now(name)
-        return mesh.LaunchReply(self._token, self._updates.next_sequence(), refused)
+            self._responder.answer_now(name)
+        return mesh.LaunchReply(self._token, self._status_updates.next_sequence(), refused)
+
+    def _preemption_grace_s(self, task: MachineTask | None) -> float:
+        """The grace period of a task that is preempted: time for a checkpoint, if it makes one."""
+        entry = self._job_index.active.get(task.job) if task else None
+        return entry.spec.checkpoint_s if entry and entry.spec.checkpoint_interval_s > 0 else 0.0
 
     def stop(self, request: mesh.StopRequest) -> None:
-        """Kill or clear attempts on behalf of the home's present owner."""
-        if not self._capacity.accept_team_token(request.team, request.team_token):
+        """Stop or forget attempts on behalf of the team's present scheduler."""
+        if not self._reservations.accept_team_token(request.team, request.team_token):
             return
-        killing: dict[str, Machine] = {}
-        for name, job, index, attempt, wind_down in request.items:
+        stopping: dict[str, Machine] = {}
+        for name, job, index, attempt, grace_period_s in request.items:
             machine = self._machines.get(name)
             if machine is None:
                 continue
-            key = (f"{job}/{index}", attempt)
-            if wind_down < 0:
+            key = AttemptKey(f"{job}/{index}", attempt)
+            if grace_period_s < 0:
                 if key in machine.tasks:
                     machine.pending_forgets.add(key)
             elif key in machine.tasks:
                 if key not in machine.pending_stops and machine.tasks[key].alive:
-                    killing[name] = machine
-                machine.pending_stops[key] = min(wind_down, machine.pending_stops.get(key, wind_down))
+                    stopping[name] = machine
+                machine.pending_stops[key] = min(grace_period_s, machine.pending_stops.get(key, grace_period_s))
             else:
                 self._revoke(machine, key)
-        for machine in killing.values():
+        for machine in stopping.values():
             self._stop_directly(machine)
 
-    def _revoke(self, machine: Machine, key: tuple[str, int]) -> None:
-        """Launch an attempt no more; one that may have been sent stays booked until a report shows what came of it."""
+    def _revoke(self, machine: Machine, key: AttemptKey) -> None:
+        """Start an attempt no more; one whose start may be out stays until a heartbeat shows what came of it."""
         for reservation in machine.list_reservations():
-            if reservation.launching and (reservation.task, reservation.attempt) == key:
-                reservation.revoked = True
+            if reservation.launching and reservation.key == key:
+                reservation.state = ReservationState.REVOKED
                 if not reservation.send_count:
-                    self._capacity.drop_reservation(machine, reservation)
+                    self._reservations.drop(machine, reservation)
--- /dev/null
+++ b/tealhook/partitions/grants.py
@@ -0,0 +1,151 @@
+"""Reserve requests of teams' schedulers: which machines their tasks are granted, by packing, preemption and holds.
+
+A partition grants only what can start within one heartbeat period. Nothing in here is durable.
+"""
+
+from __future__ import annotations
+
+import heapq
+from collections.abc import Iterator
+from typing import NamedTuple
+
+from tealhook.partitions.capacity import MachineCapacity
+from tealhook.partitions.capacity_holds import CapacityHolds
+from tealhook.partitions.fetch_rates import FetchRates
+from tealhook.partitions.inquiries import allows_machine
+from tealhook.partitions.machine import Machine, MachineTask, count_fitting, subtract
+from tealhook.partitions.packing import PackingOrder
+from tealhook.partitions.pending_grant import PendingGrant
+from tealhook.partitions.preemption import Preemption, PreemptionScope
+from tealhook.partitions.reservations import Reservations
+from tealhook.partitions.state import PartitionState
+from tealhook.wire import mesh
+
+
+class _QueuedOffer(NamedTuple):
+    """A machine in the order of what preemption there throws away; `position` decides between equals."""
+
+    lost_cpu_s: float
+    position: int
+    machine: Machine
+
+
+class ReservationGrants:
+    """Serves reserve requests."""
+
+    def __init__(
+        self, state: PartitionState, capacity: MachineCapacity, reservations: Reservations, fetch_rates: FetchRates
+    ) -> None:
+        """Grants become `reservations`."""
+        self._effects = state.context.effects
+        self._token = state.token
+        self._capacity = capacity
+        self._reservations = reservations
+        self._fetch_rates = fetch_rates
+        self._holds = CapacityHolds(capacity, state.context.workers.report_s)
+        self._preemption = Preemption(state)
+
+    def reserve(self, request: mesh.ReserveRequest) -> mesh.ReserveReply:
+        """Reserve capacity for each item of a request, in their order, on machines that can start the tasks at once."""
+        now = self._effects.now()
+        packing = PackingOrder(self._reservations.schedulable_machines(), self._capacity.free_resources)
+        grants: list[list[mesh.ReservationGrant]] = []
+        for item in request.requests:
+            if not self._reservations.accept_team_token(item.team, item.team_token):
+                grants.append([])
+                continue
+            grants.append(self._grant(PendingGrant(item, packing, now)))
+        return mesh.ReserveReply(self._token, grants)
+
+    def _grant(self, pending: PendingGrant) -> list[mesh.ReservationGrant]:
+        request = pending.request
+        self._grant_free(pending)
+        if pending.missing > 0:
+            scope = self._preemption.scope_of(request)
+            if scope is PreemptionScope.ANY:
+                self._preempt_cheapest(pending)
+            elif scope is PreemptionScope.CHECKPOINTING:
+                self._preempt_checkpointing(pending)
+        if request.starving and pending.missing > 0:
+            self._holds.hold(request.job, pending.required, list(self._candidates(pending)), pending.now)
+        return pending.granted
+
+    def _candidates(self, pending: PendingGrant) -> Iterator[Machine]:
+        """Machines that a request may go to, in the order of packing, whatever is free on them."""
+        request, now, blocks = pending.request, pending.now, self._holds.blocks
+        return (
+            machine
+            for machine in pending.packing.in_order(request.requirements.image)
+            if allows_machine(request.requirements, machine)
+            and machine.name not in request.avoided_machines
+            and not blocks(machine, request, now)
+        )
+
+    def _grant_free(self, pending: PendingGrant) -> None:
+        """Grant what is free."""
+        chosen: list[tuple[Machine, int]] = []
+        missing = pending.missing
+        free, required = pending.packing.free, pending.required
+        for machine in self._candidates(pending):
+            if missing <= 0:
+                break
+            count = min(missing, count_fitting(free(machine), required))
+            if count:
+                chosen.append((machine, count))
+                missing -= count
+        for machine, count in chosen:
+            for _ in range(count):
+                self._add_grant(pending, machine, [])
+            pending.packing.set_free(machine, subtract(free(machine), required, count))
+
+    def _add_grant(self, pending: PendingGrant, machine: Machine, victims: list[MachineTask]) -> None:
+        request = pending.request
+        reservation = self._reservations.add(machine, request, pending.required, victims, pending.now)
+        self._holds.release(machine, request.job)
+        fetch_s = (
+            0.0
+            if machine.has_image(request.requirements.image)
+            else request.requirements.image_gb / self._fetch_rates.rate(machine.machine_type)
+        )
+        pending.granted.append(
+            mesh.ReservationGrant(reservation.reservation_id, machine.name, machine.session, fetch_s)
+        )
+
+    def _preempt_cheapest(self, pending: PendingGrant) -> None:
+        """Preempt tasks of lower priority, or beyond another team's guarantee, those begun last first."""
+        # The least loss first. One choice changes its own machine, and what teams still run beyond their
+        # guarantees: so an offer is worked out again when its turn comes, not all of them each time.
+        queue: list[_QueuedOffer] = []
+        for position, machine in enumerate(list(self._candidates(pending))):
+            offer = self._preemption.offer(machine, pending, PreemptionScope.ANY)
+            if offer is not None:
+                queue.append(_QueuedOffer(offer.lost_cpu_s, position, machine))
+        heapq.heapify(queue)
+        while queue and pending.missing > 0:
+            queued = heapq.heappop(queue)
+            machine = queued.machine
+            offer = self._preemption.offer(machine, pending, PreemptionScope.ANY)
+            if offer is None:
+                continue
+            if offer.lost_cpu_s > queued.lost_cpu_s and queue and offer.lost_cpu_s > queue[0].lost_cpu_s:
+                heapq.heappush(queue, _QueuedOffer(offer.lost_cpu_s, queued.position, machine))
+                continue
+            self._preemption.charge(pending.request, offer.victims)
+            pending.packing.set_free(machine, subtract(offer.free, pending.required))
+            self._add_grant(pending, machine, offer.victims)
+            heapq.heappush(queue, queued)
+
+    def _preempt_checkpointing(self, pending: PendingGrant) -> None:
+        """Preempt tasks of lower priority that have checkpoints, on the first machines that have such.
+
+        All lose about as little, so the offers of hundreds of machines are not worked out for each task.
+        """
+        for machine in list(self._candidates(pending)):
+            while pending.missing > 0:
+                offer = self._preemption.offer(machine, pending, PreemptionScope.CHECKPOINTING)
+                if offer is None:
+                    break
+                pending.packing.set_free(machine, subtract(offer.free, pending.required))
+                self._add_grant(pending, machine, offer.victims)
+            if pending.missing <= 0:
+                return
--- /dev/null
+++ b/tealhook/partitions/heartbeats.py
@@ -0,0 +1,166 @@
+"""Heartbeats made to the owner of a partition: what they show of a machine's session, tasks and reservations."""
+
+from __future__ import annotations
+
+import logging
+from typing import cast
+
+from tealhook.partitions.fetch_rates import FetchRates
+from tealhook.partitions.machine import LONG_AGO_S, AttemptKey, Machine, MachineTask
+from tealhook.partitions.machine_health import MachineHealth
+from tealhook.partitions.reservations import Reservations
+from tealhook.partitions.state import PartitionState
+from tealhook.partitions.status_updates import StatusUpdates
+from tealhook.partitions.termination import evict
+from tealhook.wire import workers as wire
+
+log = logging.getLogger(__name__)
+
+CLOCK_DRIFT = 1.001  # two steady clocks, each at most 0.05% off
+MAX_START_SENDS = 3  # a start sent so often without effect is given up
+
+
+class HeartbeatReceiver:
+    """Takes heartbeats into the machines that they are of."""
+
+    def __init__(
+        self,
+        state: PartitionState,
+        reservations: Reservations,
+        fetch_rates: FetchRates,
+        health: MachineHealth,
+        status_updates: StatusUpdates,
+    ) -> None:
+        """Changes that heartbeats show go to the other components."""
+        self._effects = state.context.effects
+        self._workers = state.context.workers
+        self._state = state
+        self._token = state.token
+        self._job_index = state.job_index
+        self._machines = state.machines
+        self._reservations = reservations
+        self._fetch_rates = fetch_rates
+        self._health = health
+        self._status_updates = status_updates
+
+    def receive(self, heartbeat: wire.Heartbeat) -> bool:
+        """Take a heartbeat made to the owner; False when it is an old one. The caller has checked the tokens."""
+        now = self._effects.now()
+        machine = self._machines.get(heartbeat.machine)
+        if machine is None:
+            machine = self._machines[heartbeat.machine] = Machine(heartbeat, now)
+        if (heartbeat.session, heartbeat.sequence) <= (machine.session, machine.sequence):
+            return False  # held up on its way, or a copy
+        if heartbeat.session > machine.session:
+            if now - machine.answered_at < self._workers.lease_s / 2:
+                # It had been answered when its lease ran out: the answers did not arrive.
+                self._health.note_commands_lost(machine, now)
+            self._begin_session(machine, heartbeat.session, now)
+        elif now - machine.session_started_at > CLOCK_DRIFT * self._workers.lease_s + wire.ANSWER_TIMEOUT_S:
+            machine.commands_lost_since = None  # the session has outlived a lease: something of ours arrived
+        machine.sequence = heartbeat.sequence
+        machine.heard_at = now
+        machine.address = heartbeat.address
+        machine.terminating = heartbeat.termination_notice_s is not None
+        machine.acknowledges_token = heartbeat.fencing_token == self._token
+        if machine.acknowledges_token:
+            # Only a worker that has seen our token obeys nobody before us any more: what such a heartbeat
+            # lacks is provably not there.
+            machine.reconciled = True
+            self._take_tasks(machine, heartbeat.tasks or [], now)
+            if heartbeat.termination_notice_s is not None:
+                evict(machine, self._job_index, self._reservations, heartbeat.termination_notice_s, now)
+        self._status_updates.publish(machine, now)
+        return True
+
+    def _begin_session(self, machine: Machine, session: int, now: float) -> None:
+        """The worker's lease ran out: every task of the earlier session is stopped and forgotten."""
+        machine.session = session
+        machine.session_started_at = now
+        machine.answered_at = LONG_AGO_S
+        machine.sequence = -1
+        machine.tasks.clear()
+        self._reservations.drop_all(machine)
+        machine.pending_stops.clear()
+        machine.pending_forgets.clear()
+        self._state.mark_changed(machine)
+
+    def _take_tasks(self, machine: Machine, reports: list[wire.TaskReport], now: float) -> None:
+        # Looked up by plain tuples, which are equal to keys: to make a key of each task in each heartbeat costs more.
+        before = cast("dict[tuple[str, int], MachineTask]", machine.tasks)
+        tasks: dict[AttemptKey, MachineTask] = {}
+        changed = len(reports) != len(before)
+        for report in reports:
+            task_id = wire.parse_task_id(report.task)
+            if task_id is None:
+                continue
+            known = before.get((report.task, report.attempt))
+            task = known or MachineTask(report.task, task_id[0], task_id[1], report.attempt, "", None, now)
+            if known is None or known.status != report.status:
+                self._on_status_change(machine, task, report, now)
+                changed = True
+            task.status, task.cause = report.status, report.cause
+            tasks[task.key] = task
+        machine.tasks = tasks
+        machine.has_exits = any(not task.alive for task in tasks.values())
+        if changed:
+            self._state.mark_changed(machine)
+        self._settle_reservations(machine)
+        for ended in [key for key in machine.pending_stops if key not in tasks or not tasks[key].alive]:
+            del machine.pending_stops[ended]
+        machine.pending_forgets.intersection_update(tasks)
+
+    def _on_status_change(self, machine: Machine, task: MachineTask, report: wire.TaskReport, now: float) -> None:
+        if report.status == wire.TaskStatus.RUNNING and not task.running_since:
+            task.running_since = now
+            self._note_image(machine, task, now)
+        if report.status == wire.TaskStatus.EXITED:
+            self._log_exit(machine, task, report, now)
+            if report.cause == wire.ExitCause.DONE:
+                self._health.note_success(machine, task.job)
+            elif report.cause == wire.ExitCause.ERROR:
+                self._health.note_error(machine, task.job)
+
+    def _note_image(self, machine: Machine, task: MachineTask, now: float) -> None:
+        """A task has begun to run: the machine has its image, and a fetch that went before is measured."""
+        entry = self._job_index.active.get(task.job)
+        if entry is None:
+            return
+        spec = entry.spec
+        if not spec.image:
+            return
+        machine_type = self._state.machine_types.get(machine.machine_type)
+        if task.status == wire.TaskStatus.FETCHING and spec.image_gb > 0 and spec.image not in machine.images:
+            self._fetch_rates.learn(machine_type, spec.image_gb, now - task.since)
+        machine.add_image(spec.image, spec.image_gb, machine_type.disk_gb if machine_type else 0.0)
+
+    @staticmethod
+    def _log_exit(machine: Machine, task: MachineTask, report: wire.TaskReport, now: float) -> None:
+        if log.isEnabledFor(logging.DEBUG) and task.reserved_at and task.running_since:
+            log.debug(
+                "%s %s on %s: started %.2f s after its reservation, fetched for %.2f s, ran for %.2f s",
+                report.task,
+                report.cause,
+                machine.name,
+                task.since - task.reserved_at,
+                task.running_since - task.since,
+                now - task.running_since,
+            )
+
+    def _settle_reservations(self, machine: Machine) -> None:
+        """Reservations whose tasks the machine reports are settled; those whose starts were lost are dropped."""
+        for reservation in machine.list_reservations():
+            if not reservation.launching:
+                continue
+            task = machine.tasks.get(reservation.key)
+            if task is not None:
+                # Seen: from now on the start is never sent again, since after a forget a repeat would
+                # start the attempt anew.
+                task.reserved_at = reservation.reserved_at
+                task.non_preemptible = reservation.non_preemptible
+                self._reservations.settle(machine, reservation)
+            elif reservation.send_count and (reservation.revoked or reservation.send_count >= MAX_START_SENDS):
+                # A newer heartbeat without it: the response that carried it was dropped for good.
+                self._reservations.drop(machine, reservation)
+                if not reservation.revoked:
+                    self._health.note_commands_lost(machine, self._effects.now())
--- /dev/null
+++ b/tealhook/partitions/inquiries.py
@@ -0,0 +1,110 @@
+"""Answers to capacity inquiries: how many tasks fit a partition now, and when the next one should.
+
+A partition counts only tasks that can start within one heartbeat period.
+"""
+
+from __future__ import annotations
+
+from typing import NamedTuple
+
+from tealhook.partitions.capacity import MachineCapacity
+from tealhook.partitions.fetch_rates import DEFAULT_GB_PER_S, FetchRates
+from tealhook.partitions.machine import NEVER_S, Machine, required_resources
+from tealhook.partitions.reservations import Reservations
+from tealhook.partitions.state import PartitionState
+from tealhook.wire import mesh
+
+VIEW_PERIODS = 1 / 8  # of a heartbeat period, for which inquiries are answered from the same view
+
+
+class _RequirementsKey(NamedTuple):
+    """What decides where tasks fit: requirements that differ in the image or the priority alone share a view."""
+
+    vcpus: float
+    gpus: float
+    memory_gb: float
+    allows_spot: bool
+    machine_types: tuple[str, ...]
+
+
+class _PartitionFit(NamedTuple):
+    """Where tasks of the same resources fit: at one moment, for the inquiries of a fraction of a heartbeat period."""
+
+    fitting: list[tuple[Machine, int]]  # machines on which tasks fit now, and how many
+    next_free_s: float
+    fetch_gb_per_s: float
+
+
+def allows_machine(requirements: mesh.TaskRequirements, machine: Machine) -> bool:
+    """Whether tasks may run on a machine at all, by its type and whether it is a spot machine."""
+    if machine.spot and not requirements.allows_spot:
+        return False
+    return not requirements.machine_types or machine.machine_type in requirements.machine_types
+
+
+class CapacityInquiries:
+    """Answers inquiries.
+
+    They come several times a heartbeat period, from every team's scheduler, for every waiting job: what they have in
+    common is computed once, and kept while nothing changes.
+    """
+
+    def __init__(
+        self, state: PartitionState, capacity: MachineCapacity, reservations: Reservations, fetch_rates: FetchRates
+    ) -> None:
+        """The view is computed with the first inquiry."""
+        self._effects = state.context.effects
+        self._workers = state.context.workers
+        self._state = state
+        self._capacity = capacity
+        self._reservations = reservations
+        self._fetch_rates = fetch_rates
+        self._machines: list[Machine] = []  # that can start tasks at once
+        self._fits: dict[_RequirementsKey, _PartitionFit] = {}
+
+    def inquire(self, requirements: list[mesh.TaskRequirements]) -> mesh.CapacityReply:
+        """The earliest free time for tasks of each requirements: how many fit now, and when the next one should."""
+        now = self._effects.now()
+        if now > self._state.view_valid_until:
+            self._machines = self._reservations.schedulable_machines()
+            self._fits.clear()
+            self._state.view_valid_until = now + self._workers.report_s * VIEW_PERIODS
+        return mesh.CapacityReply(self._state.token, [self._capacity_for(required, now) for required in requirements])
+
+    def _capacity_for(self, requirements: mesh.TaskRequirements, now: float) -> mesh.Capacity:
+        key = _RequirementsKey(
+            requirements.vcpus,
+            requirements.gpus,
+            requirements.memory_gb,
+            requirements.allows_spot,
+            requirements.machine_types,
+        )
+        fit = self._fits.get(key)
+        if fit is None:
+            fit = self._fits[key] = self._compute_fit(requirements, now)
+        cached = uncached = 0
+        image = requirements.image
+        for machine, count in fit.fitting:
+            if not image or image in machine.images:
+                cached += count
+            else:
+                uncached += count
+        return mesh.Capacity(cached, uncached, fit.next_free_s, fit.fetch_gb_per_s or DEFAULT_GB_PER_S)
+
+    def _compute_fit(self, requirements: mesh.TaskRequirements, now: float) -> _PartitionFit:
+        required = required_resources(requirements)
+        fitting: list[tuple[Machine, int]] = []
+        machine_types: set[str] = set()
+        next_at = NEVER_S
+        for machine in self._machines:
+            if not allows_machine(requirements, machine):
+                continue
+            machine_types.add(machine.machine_type)
+            count, free_at = machine.fit_cache.get(required) or self._capacity.fit(machine, required)
+            if count:
+                fitting.append((machine, count))
+            else:
+                next_at = min(next_at, free_at)
+        # What frees is known here with the machine's next heartbeat, half a period later on the average.
+        next_free_s = max(0.0, next_at - now) + self._workers.report_s / 2 if next_at < NEVER_S else NEVER_S
+        return _PartitionFit(fitting, next_free_s, max(map(self._fetch_rates.rate, machine_types), default=0.0))
--- a/tealhook/partitions/machine.py
+++ b/tealhook/partitions/machine.py
@@ -1,21 +1,35 @@
-"""One machine as its part's owner knows it."""
+"""One machine as the owner of its partition knows it: its tasks, reservations, pending commands and cached sums."""
 
 from __future__ import annotations
 
+import enum
 from collections import OrderedDict
 from dataclasses import dataclass, field
+from typing import NamedTuple
 
+from tealhook.wire import mesh
 from tealhook.wire import workers as wire
-from tealhook.wire.cloud import MachineType
+from tealhook.wire.common import Resources
 
-Resources = tuple[float, float, float]
-EPSILON = 1e-6
-MAX_RESENDS = 3
+EPSILON = 1e-6  # sums of requested resources are compared with this much slack
+LONG_AGO_S = -1e9  # on the monotonic clock: before anything that ever happened
+NEVER_S = 1e9  # as a duration, and on the monotonic clock: not as far as known; finite, since it is sent
+
+# How many tasks of some resources fit on a machine now; if none does, from when one should. A plain tuple: there is one
+# for each machine and kind of waiting task, and the garbage collector would visit typed ones again and again.
+TaskFit = tuple[int, float]
+
+
+class AttemptKey(NamedTuple):
+    """One attempt to run a task: the task as the worker calls it, and the number of the attempt."""
+
+    task: str
+    attempt: int
 
 
 @dataclass(slots=True)
 class MachineTask:
-    """A task on the machine, by its latest report."""
+    """A task on the machine, by its latest heartbeat."""
 
     task: str
     job: str
@@ -25,20 +39,33 @@
     cause: str | None
     since: float
     running_since: float = 0.0  # when it was first seen running; 0: not yet
-    yields_to: int = 0  # reservation that takes its room
-    reserved_at: float = 0.0  # when its room was reserved here; 0: by an earlier owner
-    non_preemptible: bool = False  # the first task of a job that waited long: not stopped for others
+    yields_to: int = 0  # reservation that takes its resources
+    reserved_at: float = 0.0  # when its resources were reserved here; 0: by an earlier owner
+    non_preemptible: bool = False  # the first task of a job that waited long: not preempted
     resources: Resources | None = None  # what it takes; None: nobody here knows its job yet
+    key: AttemptKey = field(init=False)
+
+    def __post_init__(self) -> None:
+        """Its key is made once: each heartbeat looks it up."""
+        self.key = AttemptKey(self.task, self.attempt)
 
     @property
     def alive(self) -> bool:
-        """Whether it still takes room on the machine."""
+        """Whether it still takes resources of the machine."""
         return self.status != wire.TaskStatus.EXITED
 
 
+class ReservationState(enum.Enum):
+    """How far a reservation has come on its way to a task that the worker reports."""
+
+    RESERVED = "reserved"  # until it is used or expires
+    LAUNCHING = "launching"  # its task's assignment is durable: the start command is sent, and sent again
+    REVOKED = "revoked"  # it was launching, and its task must not start any more
+
+
 @dataclass(slots=True)
 class Reservation:
-    """Room given to a task that the worker has not reported yet: reserved, then launching."""
+    """Resources held for a task that the worker has not reported yet."""
 
     reservation_id: int
     team: str
@@ -47,86 +74,116 @@
     image: str
     expires_at: float
     reserved_at: float
-    victims: list[tuple[str, int]] = field(default_factory=list)
+    victims: list[AttemptKey] = field(default_factory=list)
     index: int = -1
     attempt: int = 0
-    launching: bool = False
-    send_count: int = 0
+    state: ReservationState = ReservationState.RESERVED
+    send_count: int = 0  # how often the start command was sent
     non_preemptible: bool = False
-    revoked: bool = False
+
+    @property
+    def launching(self) -> bool:
+        """Whether its task's assignment is durable, be it revoked since or not: it does not expire any more."""
+        return self.state is not ReservationState.RESERVED
+
+    @property
+    def revoked(self) -> bool:
+        """Whether its task must not start any more."""
+        return self.state is ReservationState.REVOKED
 
     @property
     def task(self) -> str:
         """The task as the worker calls it, once it is launched."""
         return f"{self.job}/{self.index}"
 
+    @property
+    def key(self) -> AttemptKey:
+        """The attempt that it is for, once it is launched."""
+        return AttemptKey(self.task, self.attempt)
+
+
+class PublishedStatus(NamedTuple):
+    """The newest status update that a team's scheduler was sent of a machine."""
+
+    content: tuple[int, tuple[tuple[str, int, int, str], ...]]  # session, and job, index, attempt, status of each task
+    at: float
+    sequence: int
+
+
+class CapacityHold(NamedTuple):
+    """A starving job for which a machine's resources are held, and until when."""
+
+    job: str
+    until: float
+
+
+class ExpectedEnd(NamedTuple):
+    """When a task should end, and what it frees then."""
+
+    at: float
+    resources: Resources
+
 
 class Machine:
-    """Reports update it, reservations book room on it, responses carry its commands."""
-
-    def __init__(self, report: wire.Heartbeat, now: float) -> None:
-        """A machine first heard of by a report, of which only its name and kind are taken over as yet."""
-        self.name = report.machine
-        self.machine_type = report.machine_type
-        self.spot = report.spot
-        self.address = report.address
-        self.session = report.session
+    """Heartbeats update it, reservations take resources of it, responses carry its commands."""
+
+    def __init__(self, heartbeat: wire.Heartbeat, now: float) -> None:
+        """A machine first heard of by a heartbeat, of which only its name and type are taken over as yet."""
+        self.name = heartbeat.machine
+        self.machine_type = heartbeat.machine_type
+        self.spot = heartbeat.spot
+        self.address = heartbeat.address
+        self.session = heartbeat.session
         self.sequence = -1
         self.heard_at = now
-        self.acknowledges_token = False  # its newest report was made under our token
-        self.session_started_at = now  # when its present shift was first heard of
-        self.answered_at = -1e9  # when a report of its present shift was last answered
-        self.commands_lost_since: float | None = None  # it reports, but what it is told does not reach it
-        self.probed_at = -1e9
-        self.reconciled = False  # a report under our token has shown what is on it
-        self.terminating = False  # the cloud has said that it takes the machine
-        self.drained = False
-        self.unhealthy = False
-        self.tasks: dict[tuple[str, int], MachineTask] = {}
+        self.acknowledges_token = False  # its newest heartbeat was made under our token
+        self.session_started_at = now  # when its present session was first heard of
+        self.answered_at = LONG_AGO_S  # when a heartbeat of its present session was last answered
+        self.commands_lost_since: float | None = None  # its heartbeats arrive, but commands don't reach it
+        self.probed_at = LONG_AGO_S
+        self.reconciled = False  # a heartbeat under our token has shown what is on it
+        self.terminating = False  # the cloud has given notice that it takes the machine
+        self.drained = False  # the fleet manager wants it empty
+        self.unhealthy = False  # tasks of several jobs failed on it
+        self.tasks: dict[AttemptKey, MachineTask] = {}
         self.reservations: dict[int, Reservation] = {}
-        self.pending_stops: dict[tuple[str, int], float] = {}
-        self.pending_forgets: set[tuple[str, int]] = set()
-        self.images: OrderedDict[str, float] = OrderedDict()
+        self.pending_stops: dict[AttemptKey, float] = {}  # attempts to be stopped, and their grace periods
+        self.pending_forgets: set[AttemptKey] = set()
+        self.images: OrderedDict[str, float] = OrderedDict()  # in the order of last use: image -> GB
         self.failed_jobs: set[str] = set()
-        self.published: dict[str, tuple] = {}  # what each home's owner was last told, when, and its number
-        self.published_at = -1e9  # when the homes were last told
-        self.held_for: tuple[str, float] | None = None  # an aged job that holds the room, until when
+        self.published: dict[str, PublishedStatus] = {}  # team -> what its scheduler was last sent
+        self.published_at = LONG_AGO_S  # when status updates were last considered
+        self.held_for: CapacityHold | None = None
         self.has_exits = False  # some task's end is not settled yet
-        self.changed = True  # something changed since the homes were told
-        self.free_resources: list[float] | None = None  # room left, until something changes
-        self.expected_ends: list[tuple[float, Resources]] | None = (
-            None  # when its tasks should end, until something changes
-        )
-        self.checkpointing_tasks: list[MachineTask] | None = (
-            None  # tasks that save and may be stopped, until something changes
-        )
-        self.fit_cache: dict[Resources, tuple[int, float]] = {}  # tasks of a need that fit, or from when; likewise
+        self.changed = True  # something changed since status updates were last considered
+        # The rest is computed when it is needed, and kept until something changes.
+        self.free_resources: Resources | None = None
+        self.expected_ends: list[ExpectedEnd] | None = None
+        self.checkpointing_tasks: list[MachineTask] | None = None  # that may be preempted
+        self.fit_cache: dict[Resources, TaskFit] = {}
 
     def mark_changed(self) -> None:
-        """Something on the machine changed."""
+        """Forget what was computed of the machine: something on it changed."""
         self.changed = True
         self.free_resources = self.expected_ends = self.checkpointing_tasks = None
         self.fit_cache.clear()
 
-    def usable(self, now: float, patience: float) -> bool:
-        """Whether a task given now would start within a report period, as far as can be known."""
-        return (
-            self.reconciled
-            and not (self.terminating or self.drained or self.unhealthy or self.commands_lost_since is not None)
-            and now - self.heard_at <= patience
-        )
+    def accepts_tasks(self, now: float, max_silence_s: float) -> bool:
+        """Whether a task given now would start within a heartbeat period, as far as can be known."""
+        is_cordoned = self.terminating or self.drained or self.unhealthy or self.commands_lost_since is not None
+        return self.reconciled and not is_cordoned and now - self.heard_at <= max_silence_s
 
     def list_reservations(self) -> list[Reservation]:
-        """Its bookings as they are now, so that some can be dropped on the way."""
+        """Its reservations as they are now, so that some can be dropped on the way."""
         return list(self.reservations.values())
 
-    def add_image(self, image: str, size: float, room: float) -> None:
-        """Note that the machine has an image; the least recently used ones go first."""
+    def add_image(self, image: str, image_gb: float, disk_gb: float) -> None:
+        """Note that the machine has an image; the least recently used ones go first when the disk is full."""
         if not image:
             return
-        self.images[image] = size
+        self.images[image] = image_gb
         self.images.move_to_end(image)
-        while len(self.images) > 1 and sum(self.images.values()) > room:
+        while len(self.images) > 1 and sum(self.images.values()) > disk_gb:
             self.images.popitem(last=False)
 
     def has_image(self, image: str) -> bool:
@@ -134,18 +191,34 @@
         return not image or image in self.images
 
 
-def fits(free: list[float], need: Resources) -> bool:
-    """Whether a task of `need` fits into `free`."""
-    return need[0] <= free[0] + EPSILON and need[1] <= free[1] + EPSILON and need[2] <= free[2] + EPSILON
+def required_resources(requirements: mesh.TaskRequirements) -> Resources:
+    """What one task of these requirements takes of its machine."""
+    return Resources(requirements.vcpus, requirements.gpus, requirements.memory_gb)
+
 
+def fits(free: Resources, required: Resources) -> bool:
+    """Whether a task of `required` fits into `free`."""
+    return (
+        required[0] <= free[0] + EPSILON and required[1] <= free[1] + EPSILON and required[2] <= free[2] + EPSILON
+    )  # by position: called for every machine and task, and attributes cost twice as much
 
-def slots(free: list[float], need: Resources) -> int:
-    """How many tasks of `need` fit into `free`."""
-    if not fits(free, need):
+
+def count_fitting(free: Resources, required: Resources) -> int:
+    """How many tasks of `required` fit into `free`."""
+    if not fits(free, required):
         return 0
-    return min(int((have + EPSILON) / want) for have, want in zip(free, need) if want > 0)
+    return min(int((have + EPSILON) / need) for have, need in zip(free, required) if need > 0)
+
+
+def add(free: Resources, freed: Resources) -> Resources:
+    """What is free once `freed` is given back."""
+    return Resources(free[0] + freed[0], free[1] + freed[1], free[2] + freed[2])
 
 
-def capacity(machine_type: MachineType) -> list[float]:
-    """CPUs, cards and GB of memory of an empty machine."""
-    return [machine_type.vcpus, machine_type.gpus, machine_type.memory_gb]
+def subtract(free: Resources, required: Resources, count: int = 1) -> Resources:
+    """What is left of `free` when so many tasks of `required` are placed there."""
+    return Resources(
+        free[0] - count * required[0],
+        free[1] - count * required[1],
+        free[2] - count * required[2],
+    )
--- a/tealhook/partitions/preemption.py
+++ b/tealhook/partitions/preemption.py
@@ -1,61 +1,108 @@
-"""Which tasks are stopped to make room for others, and what that throws away."""
+"""Which tasks are preempted for others, and what work that throws away."""
 
 from __future__ import annotations
 
+import enum
+from operator import itemgetter
 from typing import NamedTuple
 
-from tealhook.context import NodeContext
-from tealhook.jobs.index import JobIndex
-from tealhook.partitions.machine import Machine, MachineTask, Resources, fits
+from tealhook.partitions.machine import Machine, MachineTask, add, fits
+from tealhook.partitions.pending_grant import PendingGrant
+from tealhook.partitions.state import PartitionState
 from tealhook.wire import mesh
+from tealhook.wire.common import Resources
 from tealhook.wire.workers import TaskStatus
 
-WORTH_STOPPING = 1.5  # of the run time that a task is stopped for: the most that may be thrown away
+MAX_RUN_RATIO = 1.5  # of the run time that a task is preempted for: the most that may be thrown away
+
+
+class PreemptionScope(enum.Enum):
+    """Which tasks may be preempted for a reservation request."""
+
+    NONE = "none"
+    CHECKPOINTING = "checkpointing"  # of lower priority, with checkpoints: little is lost
+    ANY = "any"  # of lower priority, or beyond another team's guarantee
 
 
 class PreemptionOffer(NamedTuple):
-    """What it takes to fit one more task on a machine: work lost, tasks to stop, and the room that they leave."""
+    """What it takes to fit one more task on a machine: work lost, tasks to preempt, and what is free without them."""
 
-    lost: float
+    lost_cpu_s: float
     victims: list[MachineTask]
-    room: list[float]
+    free: Resources
 
 
 class Preemption:
-    """Chooses tasks to stop: less urgent ones, or what another team runs beyond its guarantee."""
-
-    def __init__(self, context: NodeContext, job_index: JobIndex, over: dict[str, float]) -> None:
-        """`over`: a team's CPUs beyond its guarantee, as its owner says."""
-        self._effects = context.effects
-        self._workers = context.workers
-        self._done_within = context.settings.done_within()
-        self._job_index = job_index
-        self._over = over
-
-    def offer(
-        self, machine: Machine, want: mesh.ReservationRequest, need: Resources, free: list[float], now: float
-    ) -> PreemptionOffer | None:
-        """The cheapest way to fit one more task of `want` on a machine with this much room; None: there is none."""
-        room = list(free)
-        lost, victims = self.victims(machine, want, need, room, now)
-        return PreemptionOffer(lost, victims, room) if victims else None
-
-    def charge(self, want: mesh.ReservationRequest, victims: list[MachineTask]) -> None:
-        """Note that these tasks are stopped, for what their teams still run beyond their guarantees."""
-        for task in victims:
-            known = self._job_index.active[task.job]
-            if known.team in self._over and known.priority >= want.requirements.priority:
-                self._over[known.team] -= known.spec.vcpus
+    """Chooses tasks to preempt: of lower priority, or what another team runs beyond its guarantee."""
+
+    def __init__(self, state: PartitionState) -> None:
+        """Usage beyond guarantees is what the teams' schedulers say."""
+        self._effects = state.context.effects
+        self._workers = state.context.workers
+        self._done_within = state.context.settings.done_within()
+        self._job_index = state.job_index
+        self._over_guarantee = state.over_guarantee
+
+    def scope_of(self, request: mesh.ReservationRequest) -> PreemptionScope:
+        """Which tasks may be preempted for a request: of all kinds if it says so, else those with checkpoints."""
+        if request.may_preempt:
+            return PreemptionScope.ANY
+        if request.requirements.priority > self._job_index.lowest_checkpointing_priority:
+            return PreemptionScope.CHECKPOINTING
+        return PreemptionScope.NONE
+
+    def offer(self, machine: Machine, pending: PendingGrant, scope: PreemptionScope) -> PreemptionOffer | None:
+        """The cheapest way to fit one more task on a machine; None: there is none."""
+        request, required, now = pending.request, pending.required, pending.now
+        free = pending.packing.free(machine)
+        lost_cpu_s = 0.0
+        victims: list[MachineTask] = []
+        over_guarantee: dict[str, float] = {}  # as it is after these victims
+        preemptible = self._preemptible_within(scope, machine, request, now)
+        for loss, task in sorted(((self._lost_cpu_s(task, now), task) for task in preemptible), key=itemgetter(0)):
+            if fits(free, required):
+                break
+            entry = self._job_index.active[task.job]
+            if entry.priority >= request.requirements.priority:
+                if scope is not PreemptionScope.ANY:
+                    continue
+                # Of equal or higher priority: only what its team runs beyond its guarantee, for a guarantee.
+                left = over_guarantee.setdefault(entry.team, self._over_guarantee.get(entry.team, 0.0))
+                if not request.within_guarantee or entry.team == request.team or not left >= entry.spec.vcpus > 0:
+                    continue
+                over_guarantee[entry.team] -= entry.spec.vcpus
+            lost_cpu_s += loss
+            victims.append(task)
+            free = add(free, entry.spec.resources)
+        return PreemptionOffer(lost_cpu_s, victims, free) if victims and fits(free, required) else None
 
-    def allowed(self, want: mesh.ReservationRequest) -> bool:
-        """Whether any task may be stopped for a want: of all kinds if it says so, else less urgent ones that save."""
-        return want.may_preempt or want.requirements.priority > self._job_index.lowest_checkpointing_priority
+    def charge(self, request: mesh.ReservationRequest, victims: list[MachineTask]) -> None:
+        """Note that these tasks are preempted, for what their teams still run beyond their guarantees."""
+        for task in victims:
+            entry = self._job_index.active[task.job]
+            if entry.team in self._over_guarantee and entry.priority >= request.requirements.priority:
+                self._over_guarantee[entry.team] -= entry.spec.vcpus
+
+    def _preemptible_within(
+        self, scope: PreemptionScope, machine: Machine, request: mesh.ReservationRequest, now: float
+    ) -> list[MachineTask]:
+        """Tasks on a machine that may be preempted for a request, whatever their priorities."""
+        if scope is not PreemptionScope.ANY:
+            return [task for task in self._checkpointing_tasks(machine) if task.job in self._job_index.active]
+        # One that has run for long is nearer to its end than to its beginning: its resources are free sooner than it
+        # is worth. Not so one with checkpoints: tasks of minutes once kept everything, having run for too long.
+        max_run_s = max(MAX_RUN_RATIO * request.requirements.run_s, self._workers.lease_s)
+        return [
+            task
+            for task in self._preemptible(machine)
+            if self._has_checkpoints(task) or self._run_s(task, now) <= max_run_s
+        ]
 
-    def _saves(self, task: MachineTask) -> bool:
-        """Whether a task saves its progress when it is stopped, so that little is lost."""
+    def _has_checkpoints(self, task: MachineTask) -> bool:
+        """Whether a task saves a checkpoint when it is stopped, so that little is lost."""
         return self._job_index.active[task.job].spec.checkpoint_interval_s > 0
 
-    def _stoppable(self, machine: Machine) -> list[MachineTask]:
+    def _preemptible(self, machine: Machine) -> list[MachineTask]:
         return [
             task
             for task in machine.tasks.values()
@@ -64,63 +111,32 @@
             and task.job in self._job_index.active
         ]
 
-    def _savers(self, machine: Machine) -> list[MachineTask]:
-        """Tasks on a machine that save and may be stopped; looked for once, until something changes there."""
+    def _checkpointing_tasks(self, machine: Machine) -> list[MachineTask]:
+        """Preemptible tasks with checkpoints on a machine; looked for once, until something changes there."""
         if machine.checkpointing_tasks is None:
-            machine.checkpointing_tasks = [task for task in self._stoppable(machine) if self._saves(task)]
+            machine.checkpointing_tasks = [task for task in self._preemptible(machine) if self._has_checkpoints(task)]
         return machine.checkpointing_tasks
 
     @staticmethod
-    def _ran(task: MachineTask, now: float) -> float:
+    def _run_s(task: MachineTask, now: float) -> float:
         return now - task.running_since if task.running_since else 0.0
 
-    def _lost(self, task: MachineTask, now: float) -> float:
-        """CPU seconds that stopping a task throws away; all of its job's where that makes the job late.
+    def _lost_cpu_s(self, task: MachineTask, now: float) -> float:
+        """CPU seconds that preempting a task throws away; all of its job's where that makes the job late.
 
-        Without this the tasks of one job of long tasks, begun last whenever they begin anew, were stopped together
+        Without this the tasks of one job of long tasks, begun last whenever they begin anew, were preempted together
         again and again, until it was late by far.
         """
-        known = self._job_index.active[task.job]
-        spec = known.spec
+        entry = self._job_index.active[task.job]
+        spec = entry.spec
         cpus = max(spec.vcpus, spec.gpus)
         if spec.checkpoint_interval_s > 0:
             return (spec.checkpoint_s + spec.image_gb) * cpus
-        ran = self._ran(task, now)
-        age = max(0.0, self._effects.wall() - known.accepted_at) if known.accepted_at > 0 else 0.0
-        goes_on = age + max(0.0, spec.estimated_run_s - ran)
-        anew = age + spec.estimated_run_s + self._workers.report_s
-        due = [spec.deadline_s] if spec.deadline_s else self._done_within.get(spec.job_class, ())
-        late = any(goes_on <= within < anew for within in due)
-        return (ran + spec.image_gb + (spec.task_count * spec.estimated_run_s if late else 0.0)) * cpus
-
-    def victims(
-        self, machine: Machine, want: mesh.ReservationRequest, need: Resources, room: list[float], now: float
-    ) -> tuple[float, list[MachineTask]]:
-        """Work lost and tasks to stop so that `need` fits, for which `room` is raised; no tasks: it can't be done."""
-        lost = 0.0
-        victims: list[MachineTask] = []
-        over: dict[str, float] = {}
-        if want.may_preempt:
-            # One that has run for long is nearer to its end than to its beginning: room frees sooner than it is worth.
-            # Not so one that saves its progress: tasks of minutes once kept all others' room, having run for too long.
-            longest = max(WORTH_STOPPING * want.requirements.run_s, self._workers.lease_s)
-            stoppable = [h for h in self._stoppable(machine) if self._saves(h) or self._ran(h, now) <= longest]
-        else:
-            stoppable = [h for h in self._savers(machine) if h.job in self._job_index.active]
-        for loss, task in sorted(((self._lost(h, now), h) for h in stoppable), key=lambda pair: pair[0]):
-            if fits(room, need):
-                break
-            known = self._job_index.active[task.job]
-            if known.priority >= want.requirements.priority:
-                if not want.may_preempt:
-                    continue
-                # Of equal or higher priority: only what its team runs beyond its guarantee, for a guarantee.
-                left = over.setdefault(known.team, self._over.get(known.team, 0.0))
-                if not want.within_guarantee or known.team == want.team or not left >= known.spec.vcpus > 0:
-                    continue
-                over[known.team] -= known.spec.vcpus
-            lost += loss
-            victims.append(task)
-            for i in range(3):
-                room[i] += known.spec.resources[i]
-        return (lost, victims) if fits(room, need) else (0.0, [])
+        run_s = self._run_s(task, now)
+        age_s = max(0.0, self._effects.wall() - entry.accepted_at) if entry.accepted_at > 0 else 0.0
+        done_if_kept_s = age_s + max(0.0, spec.estimated_run_s - run_s)
+        done_if_preempted_s = age_s + spec.estimated_run_s + self._workers.report_s
+        deadlines_s = [spec.deadline_s] if spec.deadline_s else self._done_within.get(spec.job_class, ())
+        becomes_late = any(done_if_kept_s <= within_s < done_if_preempted_s for within_s in deadlines_s)
+        job_s = spec.task_count * spec.estimated_run_s if becomes_late else 0.0
+        return (run_s + spec.image_gb + job_s) * cpus
--- a/tealhook/partitions/status_updates.py
+++ b/tealhook/partitions/status_updates.py
@@ -1,63 +1,103 @@
-"""What the owner of a part tells the homes of its machines, by itself and when they ask."""
+"""Status updates of a partition's machines for the teams' schedulers: unasked, and when they reconcile."""
 
 from __future__ import annotations
 
-from collections.abc import Callable
-from typing import Any
-
-from tealhook.context import NodeContext
-from tealhook.partitions.capacity import CapacityManager
-from tealhook.partitions.machine import Machine
+from tealhook.partitions.interfaces import PartitionObserver
+from tealhook.partitions.launched_jobs import LaunchedJobs
+from tealhook.partitions.machine import Machine, PublishedStatus
+from tealhook.partitions.reservations import Reservations
+from tealhook.partitions.state import PartitionState
 from tealhook.wire import mesh
 from tealhook.wire import workers as wire
 
-LONE_SHARE = 0.25  # of a part's machines silent at most: it is them, else the way to them
+MAX_SILENT_SHARE = 0.25  # of a partition's machines: if more are silent, it is the network rather than the machines
+REPEAT_PERIODS = 2  # heartbeat periods after which exits that are not settled are published again
+SILENT_PERIODS = 2  # heartbeat periods after which a machine counts as silent
+NEVER_HEARD_S = -1.0  # in a reconcile reply: no heartbeat under this token has come from the machine
 
 
-class Updates:
-    """News of one part's machines for the teams' homes, in one order: what has a higher number was said later.
+class StatusUpdates:
+    """Numbers and publishes status updates: one with a higher number was sent later.
 
-    A home takes what news lack for a proof that it is not on the machine. So none goes out that may lack a task, and
-    answers to launches and looks are numbered together with them.
+    A team's scheduler takes what an update lacks for a proof that it is not on the machine. So none goes out that may
+    lack a task, and replies to launch and reconcile requests are numbered together with them.
     """
 
     def __init__(
         self,
-        context: NodeContext,
-        zone: str,
-        token: int,
-        machines: dict[str, Machine],
-        room: CapacityManager,
-        tell: Callable[[str, mesh.StatusUpdate], Any],
-        strangers: Callable[[str], Any],
+        state: PartitionState,
+        reservations: Reservations,
+        launched_jobs: LaunchedJobs,
+        observer: PartitionObserver,
     ) -> None:
-        """News go to `tell`, with the team that they are for; `strangers` hears of jobs that nobody here knows."""
-        self._effects = context.effects
-        self._workers = context.workers
-        self._zone = zone
-        self._token = token
-        self._owned_at = context.effects.now()
-        self._machines = machines
-        self._capacity = room
-        self._send = tell
-        self._on_unknown_job = strangers
+        """Updates go to `observer`, which also hears of jobs that nobody here knows."""
+        self._effects = state.context.effects
+        self._workers = state.context.workers
+        self._state = state
+        self._machines = state.machines
+        self._reservations = reservations
+        self._launched_jobs = launched_jobs
+        self._observer = observer
         self._sequence = 0
 
     def next_sequence(self) -> int:
-        """The number of what is said next."""
+        """The number of the next update or reply."""
         self._sequence += 1
         return self._sequence
 
     def publish(self, machine: Machine, now: float, force: str | None = None) -> None:
-        """Tell each team's home what is on the machine when that changed, or while it has exits to settle."""
-        # Exits not settled are told of again, but not with every report: a home makes their outcome durable first.
-        again = machine.has_exits and now - machine.published_at >= 2 * self._workers.report_s
-        if not machine.reconciled or not (machine.changed or again or force):
+        """Send each team's scheduler what is on a machine when that changed, or while it has exits to settle.
+
+        `force`: a team whose scheduler gets an update in any case.
+        """
+        # Exits not settled are published again, but not with every heartbeat: a scheduler makes their outcome durable
+        # first.
+        repeat_s = REPEAT_PERIODS * self._workers.report_s
+        is_repeat_due = machine.has_exits and now - machine.published_at >= repeat_s
+        if not machine.reconciled or not (machine.changed or is_repeat_due or force):
+            return
+        tasks_by_team = self._tasks_by_team(machine)
+        if tasks_by_team is None:
             return
+        machine.changed = False
+        machine.published_at = now
+        for team in sorted(tasks_by_team.keys() | machine.published.keys() | ({force} if force else set())):
+            observed = tasks_by_team.get(team, [])
+            content = (machine.session, tuple((task.job, task.index, task.attempt, task.status) for task in observed))
+            last = machine.published.get(team)
+            has_exits = any(task.status == wire.TaskStatus.EXITED for task in observed)
+            if (
+                last is not None
+                and last.content == content
+                and team != force
+                and not (has_exits and now - last.at >= repeat_s)
+            ):
+                continue
+            sequence = self.next_sequence()
+            machine.published[team] = PublishedStatus(content, now, sequence)
+            self._observer.publish_status(
+                team,
+                mesh.StatusUpdate(
+                    self._state.zone,
+                    team,
+                    self._state.token,
+                    sequence,
+                    machine.name,
+                    machine.session,
+                    machine.sequence,
+                    observed,
+                ),
+            )
+
+    def _tasks_by_team(self, machine: Machine) -> dict[str, list[mesh.ObservedTask]] | None:
+        """What is on a machine, by team; None while nobody here knows whose some task is.
+
+        An update without that task would pass for a proof of its absence.
+        """
         teams: dict[str, list[mesh.ObservedTask]] = {}
         unknown = None
         for task in machine.tasks.values():
-            team = self._capacity.team_of(task.job)
+            team = self._launched_jobs.team_of(task.job)
             if team is None:
                 unknown = task.job
                 continue
@@ -70,56 +110,41 @@
                     mesh.ObservedTask(reservation.job, reservation.index, reservation.attempt, mesh.LAUNCHING)
                 )
         if unknown is not None:
-            # Whose task that is nobody here knows: news without it would pass for a proof of its absence.
-            self._on_unknown_job(unknown)
-            return
-        machine.changed = False
-        machine.published_at = now
-        for team in sorted(teams.keys() | machine.published.keys() | ({force} if force else set())):
-            seen = teams.get(team, [])
-            content = (machine.session, tuple((s.job, s.index, s.attempt, s.status) for s in seen))
-            last = machine.published.get(team)
-            exits = any(s.status == wire.TaskStatus.EXITED for s in seen)
-            settled = not exits or last is None or now - last[1] < 2 * self._workers.report_s
-            if last is not None and last[0] == content and team != force and settled:
-                continue
-            self._sequence += 1
-            machine.published[team] = (content, now, self._sequence)
-            self._send(
-                team,
-                mesh.StatusUpdate(
-                    self._zone, team, self._token, self._sequence, machine.name, machine.session, machine.sequence, seen
-                ),
-            )
+            self._observer.on_unknown_job(unknown)
+            return None
+        return teams
 
     def reconcile(self, request: mesh.ReconcileRequest) -> mesh.ReconcileReply:
-        """Answer a home; from here on, launches by earlier owners of that home are refused."""
+        """Answer a team's scheduler; from here on, launches by earlier schedulers of that team are refused."""
         now = self._effects.now()
-        self._capacity.accept_team_token(request.team, request.team_token)
-        silent = []
+        self._reservations.accept_team_token(request.team, request.team_token)
+        silent_s = []
         for name in request.machines:
             machine = self._machines.get(name)
             if machine is None or not machine.reconciled:
-                silent.append(-1.0)
+                silent_s.append(NEVER_HEARD_S)
             else:
-                silent.append(now - machine.heard_at)
-        unheard = sum(name not in self._machines for name in request.machines)
-        quiet = sum(now - machine.heard_at > 2 * self._workers.report_s for machine in self._machines.values())
-        lone = quiet + unheard <= LONE_SHARE * (len(self._machines) + unheard)
-        self._sequence += 1
-        return mesh.ReconcileReply(self._token, self._sequence, silent, now - self._owned_at, lone)
+                silent_s.append(now - machine.heard_at)
+        unknown_count = sum(name not in self._machines for name in request.machines)
+        max_silence_s = SILENT_PERIODS * self._workers.report_s
+        silent_count = sum(now - machine.heard_at > max_silence_s for machine in self._machines.values())
+        machine_count = len(self._machines) + unknown_count
+        mostly_reporting = silent_count + unknown_count <= MAX_SILENT_SHARE * machine_count
+        return mesh.ReconcileReply(
+            self._state.token, self.next_sequence(), silent_s, now - self._state.owned_at, mostly_reporting
+        )
 
     def publish_requested(self, request: mesh.ReconcileRequest) -> None:
-        """News of the machines looked at; to be sent after the answer, whose number they must exceed.
+        """Publish the machines of a reconcile request; to be sent after the reply, whose number they must exceed.
 
-        Only of those whose last news the home lacks: telling all of them anew, to each home, grows with teams times
-        machines, and was half of all news of a fleet of 660.
+        Only those whose last update the scheduler lacks: sending all of them anew, to each scheduler, grows with teams
+        times machines, and was half of all status updates of a fleet of 660.
         """
         now = self._effects.now()
-        for name, heard in zip(request.machines, request.known_sequences, strict=False):
+        for name, known_sequence in zip(request.machines, request.known_sequences, strict=False):
             machine = self._machines.get(name)
             if machine is None:
                 continue
             last = machine.published.get(request.team)
-            if not heard or last is None or last[2] != heard:
+            if not known_sequence or last is None or last.sequence != known_sequence:
                 self.publish(machine, now, force=request.team)
--- /dev/null
+++ b/tealhook/partitions/termination.py
@@ -0,0 +1,32 @@
+"""Machines that the cloud is about to take: what can't end before is stopped early."""
+
+from __future__ import annotations
+
+from tealhook.jobs.index import JobIndex
+from tealhook.partitions.machine import Machine
+from tealhook.partitions.reservations import Reservations
+
+
+def evict(machine: Machine, job_index: JobIndex, reservations: Reservations, notice_s: float, now: float) -> None:
+    """Stop what can't end before the cloud takes the machine: elsewhere it begins anew that much sooner.
+
+    Left alone it would be lost when the machine goes, and known to be lost only after that has been noticed.
+    """
+    for key, task in machine.tasks.items():
+        entry = job_index.active.get(task.job)
+        if entry is None or not task.alive or key in machine.pending_stops:
+            continue
+        spec = entry.spec
+        if (task.running_since or now) + spec.estimated_run_s <= now + notice_s:
+            continue  # it may well end in time; so may one that is past its estimate
+        has_time_for_checkpoint = spec.checkpoint_interval_s > 0 and spec.checkpoint_s < notice_s
+        machine.pending_stops[key] = spec.checkpoint_s if has_time_for_checkpoint else 0.0
+    for reservation in machine.list_reservations():
+        entry = job_index.active.get(reservation.job)
+        if (
+            reservation.launching
+            and not reservation.send_count
+            and entry is not None
+            and entry.spec.estimated_run_s > notice_s
+        ):
+            reservations.drop(machine, reservation)
--- a/tealhook/partitions/worker_calls.py
+++ b/tealhook/partitions/worker_calls.py
@@ -1,4 +1,4 @@
-"""Direct calls of a part's owner to workers that don't come to it, or may not hear its answers."""
+"""Direct calls of a partition's owner to workers that don't come to it, or that its commands may not reach."""
 
 from __future__ import annotations
 
@@ -8,91 +8,101 @@
 
 import msgspec
 
-from tealhook.context import NodeContext
-from tealhook.partitions.machine import Machine
+from tealhook.partitions.machine import LONG_AGO_S, Machine
+from tealhook.partitions.state import PartitionState
 from tealhook.wire import workers as wire
 from tealhook.wire.common import dumps
 
-log = logging.getLogger("tealhook.partitions")
+log = logging.getLogger(__name__)
 
-NEVER_S = 1e9
-DIRECT_S = 2.0  # a worker that has not answered a direct call by then is asked again later
+DIRECT_CALL_TIMEOUT_S = 2.0  # a worker that has not answered a direct call by then is called again later
+CALL_INTERVAL_LEASES = 1 / 4  # at most one call in so many leases to each worker
+FIRST_CALL_PERIODS = 1.5  # heartbeat periods in which workers come to a new owner by themselves
+CONNECTIONS_SHARE = 32  # one of so many: half of the connections for direct calls
+MIN_CONCURRENT_CALLS = 16
 
 
-def ignore(_status: int | None, _body: bytes) -> None:
-    """What a worker answers to a direct call; its next report shows what came of it."""
+def ignore_answer(_status: int | None, _body: bytes) -> None:
+    """Ignore what a worker answers to a direct call; its next heartbeat shows what came of it."""
 
 
-class Calls:
-    """Calls to the workers of one part, each at most once in a quarter of a lease."""
+class WorkerCalls:
+    """Calls to the workers of one partition, each at most once in a quarter of a lease."""
 
-    def __init__(self, context: NodeContext, token: int, machines: dict[str, Machine]) -> None:
-        """The part's owner begins to own it now, under `token`, and may know none of its `machines` yet."""
-        self._effects = context.effects
-        self._workers = context.workers
-        self._token = token
-        self._machines = machines
-        self._owned_at = context.effects.now()
-        self._called: dict[str, float] = {}  # machine -> when its worker was last told of our token
-        self._waiting: deque[tuple[str, str]] = deque()  # machines and addresses of workers still to be told
-        self._most = max(
-            16, context.settings.params.limits.max_connections // 32
-        )  # half of the direct calls' connections
-        self._under_way = 0
+    def __init__(self, state: PartitionState) -> None:
+        """The partition's owner may know none of its machines yet."""
+        self._effects = state.context.effects
+        self._workers = state.context.workers
+        self._state = state
+        self._machines = state.machines
+        self._called_at: dict[str, float] = {}  # machine -> when its worker was last called to tell it our token
+        self._waiting: deque[tuple[str, str]] = deque()  # machines and addresses of workers still to be called
+        max_connections = state.context.settings.params.limits.max_connections
+        self._max_concurrent = max(MIN_CONCURRENT_CALLS, max_connections // CONNECTIONS_SHARE)
+        self._in_progress = 0
 
-    def announce_token(self, addrs: dict[str, str]) -> None:
+    def announce_token(self, addresses: dict[str, str]) -> None:
         """Tell workers that have not come under our token of it, directly, so that they do.
 
         They may be with an earlier owner who can't know that it is none any more, and would answer them for
-        ever. Only the token is told: commands sent this way could be executed minutes late.
+        ever. Only the token is sent: commands sent this way could be executed minutes late.
         """
         now = self._effects.now()
-        if now - self._owned_at < 1.5 * self._workers.report_s:
+        if now - self._state.owned_at < FIRST_CALL_PERIODS * self._workers.report_s:
             return
-        for name, addr in addrs.items():
-            machine = self._machines.get(name)
-            if machine is not None and machine.reconciled:
+        for name, address in addresses.items():
+            if self._is_reconciled(name):
                 continue
-            if now - self._called.get(name, -NEVER_S) < self._workers.lease_s / 4:
+            if now - self._called_at.get(name, LONG_AGO_S) < self._workers.lease_s * CALL_INTERVAL_LEASES:
                 continue
-            self._called[name] = now
-            self._waiting.append((name, addr))
-        self._call_next()
+            self._called_at[name] = now
+            self._waiting.append((name, address))
+        self._call_waiting()
 
-    def _call_next(self) -> None:
+    def _is_reconciled(self, name: str) -> bool:
+        machine = self._machines.get(name)
+        return machine is not None and machine.reconciled
+
+    def _call_waiting(self) -> None:
         """Call as many workers as there are connections for: calls beyond that would fail, a lease's quarter lost."""
-        while self._waiting and self._under_way < self._most:
-            name, addr = self._waiting.popleft()
-            machine = self._machines.get(name)
-            if machine is None or not machine.reconciled:
-                self._under_way += 1
-                self._effects.worker(addr, "GET", "/show", None, DIRECT_S, partial(self._shown, addr))
-
-    def _shown(self, addr: str, status: int | None, body: bytes) -> None:
-        self._under_way -= 1
-        self._call_next()
+        while self._waiting and self._in_progress < self._max_concurrent:
+            name, address = self._waiting.popleft()
+            if not self._is_reconciled(name):
+                self._in_progress += 1
+                self._effects.worker(
+                    address, "GET", "/show", None, DIRECT_CALL_TIMEOUT_S, partial(self._on_status, address)
+                )
+
+    def _on_status(self, address: str, status: int | None, body: bytes) -> None:
+        self._in_progress -= 1
+        self._call_waiting()
         if status != 200:
             return
         try:
-            report = wire.heartbeat_decoder.decode(body)
+            heartbeat = wire.heartbeat_decoder.decode(body)
         except msgspec.DecodeError as exc:
-            log.error("worker at %s: bad answer: %s", addr, exc)
+            log.error("worker at %s: bad answer: %s", address, exc)
             return
-        if report.fencing_token < self._token:
-            call = dumps(wire.CommandBatch(self._token, [], report.session))
-            self._effects.worker(addr, "POST", "/orders", call, DIRECT_S, ignore)
+        if heartbeat.fencing_token < self._state.token:
+            batch = dumps(wire.CommandBatch(self._state.token, [], heartbeat.session))
+            self._effects.worker(address, "POST", "/orders", batch, DIRECT_CALL_TIMEOUT_S, ignore_answer)
 
     def probe_unresponsive(self) -> None:
-        """Ask machines that did not hear whether they do now; what reaches them so would reach them otherwise."""
+        """Call machines that commands didn't reach; a worker that answers would receive them again."""
         now = self._effects.now()
         for machine in self._machines.values():
-            if machine.commands_lost_since is None or now - machine.probed_at < self._workers.lease_s / 4:
+            if (
+                machine.commands_lost_since is None
+                or now - machine.probed_at < self._workers.lease_s * CALL_INTERVAL_LEASES
+            ):
                 continue
             machine.probed_at = now
-
-            def shown(status: int | None, _body: bytes, machine: Machine = machine) -> None:
-                if status == 200 and machine.commands_lost_since is not None:
-                    log.info("%s hears again", machine.name)
-                    machine.commands_lost_since = None
-
-            self._effects.worker(machine.address, "GET", "/show", None, DIRECT_S, shown)
+            self._effects.worker(
+                machine.address, "GET", "/show", None, DIRECT_CALL_TIMEOUT_S, partial(self._on_probed, machine)
+            )
+
+    @staticmethod
+    def _on_probed(machine: Machine, status: int | None, _body: bytes) -> None:
+        if status == 200 and machine.commands_lost_since is not None:
+            log.info("commands reach %s again", machine.name)
+            machine.commands_lost_since = None
--- a/tealhook/runtime.py
+++ b/tealhook/runtime.py
@@ -46,7 +46,7 @@
             self.loop,
             settings.services.state,
             max_connections=STATE_CONNECTIONS,
-            max_body=max(LEAST_ANSWER_BYTES, int(limits.mem_mb * 2**20 * ANSWER_SHARE)),
+            max_body=max(LEAST_ANSWER_BYTES, int(limits.memory_bytes(ANSWER_SHARE))),
         )
         self._cloud = HttpClient(self.loop, settings.services.cloud, max_connections=CLOUD_CONNECTIONS, max_idle=1)
         self._workers: dict[str, HttpClient] = {}
@@ -107,7 +107,7 @@
         idle_s=max(60.0, 4 * lease_s),
         short_when_crowded=HEARTBEAT_PATH,
     )
-    controller.partition_manager.crowded = lambda: server.crowded
+    controller.partition_manager.connections = server
 
     def reconnect_silent_peers() -> None:
         """Open a new connection to peers that are silent: after a network cut the old one may hang for minutes."""
--- a/tealhook/settings/platform.py
+++ b/tealhook/settings/platform.py
@@ -7,6 +7,8 @@
 
 import msgspec
 
+BYTES_PER_MB = 2**20
+
 
 class SettingsError(ValueError):
     """One line: file, key, and what is expected."""
@@ -100,6 +102,10 @@
     mem_mb: float = 256.0
     max_connections: int = 512
 
+    def memory_bytes(self, share: float) -> float:
+        """Bytes in a share of the memory."""
+        return self.mem_mb * BYTES_PER_MB * share
+
 
 class Params(msgspec.Struct):
     """Everything that is the same for all controllers of the cluster."""
--- a/tealhook/wire/workers.py
+++ b/tealhook/wire/workers.py
@@ -85,6 +85,12 @@
     session: int | None = msgspec.field(default=None, name="shift")
 
 
+class Redirection(msgspec.Struct):
+    """The body of a 421 answer: the controller that owns the partition, by its name."""
+
+    leader: str = msgspec.field(name="boss")
+
+
 heartbeat_decoder = msgspec.json.Decoder(Heartbeat)
 command_batch_decoder = msgspec.json.Decoder(CommandBatch)
 
--- /dev/null
+++ b/tests/simulation/observer.py
@@ -0,0 +1,21 @@
+"""A stand-in for the controller around a partition."""
+
+from __future__ import annotations
+
+from tealhook.wire import mesh
+
+
+class Recorder:
+    """Implements `PartitionObserver`: keeps the status updates that a partition publishes, and nothing else."""
+
+    def __init__(self, updates: list[mesh.StatusUpdate]) -> None:
+        self.updates = updates
+
+    def publish_status(self, _team: str, update: mesh.StatusUpdate) -> None:
+        self.updates.append(update)
+
+    def on_unknown_job(self, job: str) -> None:
+        pass
+
+    def on_zone(self, zone: str) -> None:
+        pass
--- a/tests/test_free_room.py
+++ b/tests/test_free_room.py
@@ -1,4 +1,4 @@
-"""Room is given in the order of packing, and the order is kept up while room is given away."""
+"""Resources are granted in the order of packing, and the order is kept up while they are given away."""
 
 from __future__ import annotations
 
@@ -6,9 +6,10 @@
 
 import pytest
 
-from tealhook.partitions.machine import Machine
-from tealhook.partitions.packing import FreeRoom, without
+from tealhook.partitions.machine import Machine, subtract
+from tealhook.partitions.packing import PackingOrder
 from tealhook.wire import workers
+from tealhook.wire.common import Resources
 
 
 def _machines(rng: random.Random, count: int) -> list[Machine]:
@@ -26,13 +27,13 @@
 def test_the_order_is_that_of_sorting_all_machines_anew(seed):
     rng = random.Random(seed)
     machines = _machines(rng, 60)
-    free = {machine.name: [float(rng.randrange(9)), 0.0, 16.0] for machine in machines}
-    room = FreeRoom(machines, lambda machine: free[machine.name])
+    free = {machine.name: Resources(float(rng.randrange(9)), 0.0, 16.0) for machine in machines}
+    packing = PackingOrder(machines, lambda machine: free[machine.name])
     for _ in range(40):
         machine = rng.choice(machines)
-        free[machine.name] = without(free[machine.name], (rng.uniform(-2.0, 2.0), 0.0, 1.0))
-        room.set_left(machine, free[machine.name])
-        assert room.left(machine) == free[machine.name]
+        free[machine.name] = subtract(free[machine.name], Resources(rng.uniform(-2.0, 2.0), 0.0, 1.0))
+        packing.set_free(machine, free[machine.name])
+        assert packing.free(machine) == free[machine.name]
         for image in ("img", ""):
             in_order = sorted(machines, key=lambda m: (not m.has_image(image), not m.spot, free[m.name][0], m.heard_at))
-            assert [m.name for m in room.in_order(image)] == [m.name for m in in_order]
+            assert [m.name for m in packing.in_order(image)] == [m.name for m in in_order]
--- a/tests/test_gap.py
+++ b/tests/test_gap.py
@@ -8,8 +8,8 @@
 
 import pytest
 
+from tealhook.partitions.heartbeats import CLOCK_DRIFT
 from tealhook.partitions.manager import PartitionManager
-from tealhook.partitions.partition import DRIFT
 from tealhook.wire import mesh
 from tealhook.wire import workers as wire
 from tests.test_guards import _answer_for_ever
@@ -30,7 +30,7 @@
 def _count_answers(monkeypatch: pytest.MonkeyPatch) -> Counter:
     """Answers given with 200 by way of another node, and those that had been held open."""
     counts: Counter = Counter()
-    whole_report, whole_flush = PartitionManager.on_heartbeat, PartitionManager._answer_now
+    whole_report, whole_flush = PartitionManager.on_heartbeat, PartitionManager.answer_now
 
     def report(self, body, reply, *, relayed=False):
         def counted(status, data):
@@ -45,7 +45,7 @@
         return held
 
     monkeypatch.setattr(PartitionManager, "on_heartbeat", report)
-    monkeypatch.setattr(PartitionManager, "_answer_now", flush)
+    monkeypatch.setattr(PartitionManager, "answer_now", flush)
     return counts
 
 
@@ -124,7 +124,7 @@
     world.run(30.0)
     node = world.nodes[_leader(world)]
     part = max(node.partition_manager.partitions.values(), key=lambda part: len(part.machines))
-    slot = part.capacity.reserve(
+    slot = part.reserve(
         mesh.ReserveRequest(
             part.zone,
             [
@@ -170,5 +170,5 @@
         keeper._max_view_age_s * max(DRIFTS) / min(DRIFTS)
     )  # the oldest view on which an answer is given, in true time
     worker_s = lease_s * max(DRIFTS) / min(DRIFTS) + 0.1  # a worker's lease by the slowest clock, and its own lateness
-    assert max(DRIFTS) / min(DRIFTS) <= DRIFT
+    assert max(DRIFTS) / min(DRIFTS) <= CLOCK_DRIFT
     assert 0 < view_s + worker_s <= cancel_s
--- a/tests/test_guards.py
+++ b/tests/test_guards.py
@@ -6,6 +6,7 @@
 from tealhook.fleet import FleetManager
 from tealhook.partitions.manager import PartitionManager
 from tealhook.partitions.partition import Partition
+from tealhook.partitions.state import PartitionState
 from tealhook.scheduling.attempts import Attempts
 from tealhook.scheduling.candidates import CandidateSelection
 from tealhook.scheduling.commits import Commits
@@ -13,7 +14,9 @@
 from tealhook.state_store import Outcome, StateClient
 from tealhook.wire import mesh
 from tealhook.wire import workers as wire
+from tealhook.wire.common import Resources
 from tealhook.wire.state import Put
+from tests.simulation.observer import Recorder
 from tests.world import Broken, World, random_run
 
 SEEDS = 30
@@ -48,13 +51,13 @@
 
 
 def _trust_any_report(patch):
-    whole = Partition.on_report
+    whole = Partition.on_heartbeat
 
-    def on_report(self, report):
-        report.fencing_token = self.token
-        return whole(self, report)
+    def on_heartbeat(self, heartbeat):
+        heartbeat.fencing_token = self.token
+        return whole(self, heartbeat)
 
-    patch.setattr(Partition, "on_report", on_report)
+    patch.setattr(Partition, "on_heartbeat", on_heartbeat)
 
 
 def _no_limit(patch):
@@ -193,24 +196,20 @@
     world.submit(plays=1, yard="zb", rigs=None, spread=False, together=False, loaners=True, expected_s=200.0)
     world.run(40.0)
     real = next(part for part in world.nodes["n0"].partition_manager.partitions.values() if part.machines)
+    node = world.nodes["n0"]
     part = Partition(
-        world.nodes["n0"].context,
-        real.zone,
-        real.token + 1,
-        real._job_index,
-        real._types,
-        {},
-        lambda team, told: news.append(told),
-        lambda job: None,
+        PartitionState(node.context, real.zone, real.token + 1, node.job_index, node.machine_types, {}),
+        Recorder(news),
+        node.partition_manager,
     )
     worker = next(w for w in world.cloud.machines.values() if w.name in real.machines)
     plays = [wire.TaskReport("req-000000/0", 1, "running")]
-    part.capacity.remember_launch("req-000000", "team-0", (1.0, 0.0, 1.0))
-    part.on_report(
+    part.launched_jobs.remember("req-000000", "team-0", Resources(1.0, 0.0, 1.0))
+    part.on_heartbeat(
         wire.Heartbeat(worker.name, worker.addr, worker.rig["name"], worker.yard, 1, 999, real.token, True, None, plays)
     )
     shape = mesh.TaskRequirements(1.0, 0.0, 1.0, "", 0.0, True, (), 1, 5.0)
-    room = part.capacity.inquire([shape]).capacities[0]
+    room = part.inquire([shape]).capacities[0]
     return news, room.uncached + room.cached
 
 
--- a/tests/test_guests.py
+++ b/tests/test_guests.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from tealhook.partitions.preemption import Preemption
+from tealhook.partitions.preemption import Preemption, PreemptionScope
 from tealhook.scheduling.candidates import CandidateSelection
 from tests.users import ALIKE
 from tests.world import World
@@ -40,13 +40,17 @@
 
 
 def test_without_stopping_them_the_others_would_wait(monkeypatch):
-    monkeypatch.setattr(Preemption, "_saves", lambda self, held: False)
+    monkeypatch.setattr(Preemption, "_has_checkpoints", lambda self, task: False)
     waits = [max(_waits_beside_a_guest(seed)) for seed in range(3)]
     assert max(waits) > 20.0
 
 
 def test_to_wait_before_stopping_them_is_found_out(monkeypatch):
     monkeypatch.setattr(CandidateSelection, "may_preempt_checkpointing", lambda self, candidate: False)
-    monkeypatch.setattr(Preemption, "allowed", lambda self, request: request.may_preempt)
+    monkeypatch.setattr(
+        Preemption,
+        "scope_of",
+        lambda self, request: PreemptionScope.ANY if request.may_preempt else PreemptionScope.NONE,
+    )
     waits = [max(_waits_beside_a_guest(seed)) for seed in range(3)]
     assert max(waits) > 8.0
--- a/tests/test_hearing.py
+++ b/tests/test_hearing.py
@@ -4,8 +4,10 @@
 
 from tealhook.controller import Controller
 from tealhook.coordination import Ownership
+from tealhook.partitions.machine_health import MachineHealth
 from tealhook.partitions.manager import PartitionManager
 from tealhook.partitions.partition import Partition
+from tests.simulation.observer import Recorder
 from tests.users import PLAIN
 from tests.world import Broken, World, make_request
 
@@ -40,7 +42,7 @@
 
 
 def test_not_to_notice_deaf_machines_is_found_out(monkeypatch):
-    monkeypatch.setattr(Partition, "_note_commands_lost", lambda self, machine, now: None)
+    monkeypatch.setattr(MachineHealth, "note_commands_lost", lambda self, machine, now: None)
     world, _name = _deaf(900.0)
     assert world.network.swallowed > 40
 
@@ -76,15 +78,15 @@
 
 
 def _believe_copies(patch):
-    whole = Partition.on_report
+    whole = Partition.on_heartbeat
 
-    def on_report(self, report):
-        machine = self.machines.get(report.machine)
+    def on_heartbeat(self, heartbeat):
+        machine = self.machines.get(heartbeat.machine)
         if machine is not None:
-            machine.sequence, machine.session = -1, report.session
-        return whole(self, report)
+            machine.sequence, machine.session = -1, heartbeat.session
+        return whole(self, heartbeat)
 
-    patch.setattr(Partition, "on_report", on_report)
+    patch.setattr(Partition, "on_heartbeat", on_heartbeat)
 
 
 @pytest.mark.parametrize("broken", [False, True])
@@ -96,7 +98,7 @@
     world.run(3.0)
     before = (machine.heard_at, machine.sequence, machine.session, set(machine.tasks), set(machine.reservations))
     told = []
-    part.updates._send = lambda team, news: told.append(news)
+    part.status_updates._observer = Recorder(told)
     assert len(copies) > 3
     if broken:
         _believe_copies(monkeypatch)
@@ -109,8 +111,8 @@
 @pytest.mark.parametrize("broken", [False, True])
 def test_a_late_copy_brings_no_released_machine_back(broken, monkeypatch):
     if broken:
-        monkeypatch.setattr("tealhook.partitions.manager.LEAST_GONE", 0)
-        monkeypatch.setattr("tealhook.partitions.manager.GONE_LEASES", -1.0)
+        monkeypatch.setattr("tealhook.partitions.released_machines.MIN_REMEMBERED", 0)
+        monkeypatch.setattr("tealhook.partitions.released_machines.REMEMBERED_LEASES", -1.0)
     owner, name, copies = _copies(world := _busy(23))
     world.cloud.remove(name)
     for node in world.nodes.values():
@@ -132,7 +134,7 @@
             _report(node, body)
         for part in node.partition_manager.partitions.values():
             assert name not in [state.name for state in part.machine_states()]
-            assert name not in [machine.name for machine in part.capacity._usable()]
+            assert name not in [machine.name for machine in part.reservations.schedulable_machines()]
 
 
 @pytest.mark.parametrize("broken", [False, True])
--- a/tests/test_meetings_net.py
+++ b/tests/test_meetings_net.py
@@ -391,16 +391,16 @@
 
 
 def _trust_any_report(patch):
-    whole = Partition.on_report
+    whole = Partition.on_heartbeat
 
-    def on_report(self, report):
-        report.fencing_token = self.token
-        machine = self.machines.get(report.machine)
+    def on_heartbeat(self, heartbeat):
+        heartbeat.fencing_token = self.token
+        machine = self.machines.get(heartbeat.machine)
         if machine is not None:
-            machine.sequence, machine.session = -1, report.session
-        return whole(self, report)
+            machine.sequence, machine.session = -1, heartbeat.session
+        return whole(self, heartbeat)
 
-    patch.setattr(Partition, "on_report", on_report)
+    patch.setattr(Partition, "on_heartbeat", on_heartbeat)
 
 
 @pytest.mark.parametrize(
--- a/tests/test_notices.py
+++ b/tests/test_notices.py
@@ -2,7 +2,6 @@
 
 import pytest
 
-from tealhook.partitions.partition import Partition
 from tealhook.scheduling.reconciliation import Reconciliation
 from tests.standins import Worker
 from tests.users import ALIKE
@@ -40,7 +39,7 @@
 
 
 def test_not_to_leave_after_a_notice_is_found_out(monkeypatch):
-    monkeypatch.setattr(Partition, "_leave", lambda self, machine, left_s, now: None)
+    monkeypatch.setattr("tealhook.partitions.heartbeats.evict", lambda *_machine_and_notice: None)
     world, worker = _after_a_notice(60.0, 20.0)
     world.run(6.0)
     assert worker.name in world.cloud.machines
--- a/tests/test_rounds.py
+++ b/tests/test_rounds.py
@@ -3,11 +3,15 @@
 import json
 
 from tealhook.jobs.index import JobEntry
-from tealhook.partitions.capacity import CapacityManager
-from tealhook.partitions.machine import Machine, MachineTask
+from tealhook.partitions.machine import AttemptKey, Machine, MachineTask
+from tealhook.partitions.packing import PackingOrder
+from tealhook.partitions.pending_grant import PendingGrant
+from tealhook.partitions.preemption import Preemption, PreemptionScope
+from tealhook.partitions.state import PartitionState
 from tealhook.scheduling import candidates
 from tealhook.settings.platform import Objective
 from tealhook.wire import mesh, workers
+from tealhook.wire.common import NO_RESOURCES
 from tealhook.wire.job_parser import parse_job
 from tests.world import SimJob, World
 
@@ -79,14 +83,14 @@
         held = MachineTask(
             f"{job}/0", job, 0, 1, "running", None, world.now - ran_s, running_since=node.context.effects.now() - ran_s
         )
-        machine.tasks[(held.task, 1)] = held
-    room = CapacityManager(node.context, 1, node.job_index, node.machine_types, {}, {"host-0": machine})
+        machine.tasks[AttemptKey(held.task, 1)] = held
+    state = PartitionState(node.context, "za", 1, node.job_index, node.machine_types, {}, {"host-0": machine})
     shape = mesh.TaskRequirements(4.0, 0.0, 4.0, "", 0.0, True, (), 2, 20.0)
     want = mesh.ReservationRequest("req-000003", "team-1", shape, 1, False, False, [], 1, preempt, False)
-    _lost, victims = room._preemption.victims(
-        machine, want, (4.0, 0.0, 4.0), [0.0, 0.0, 0.0], node.context.effects.now()
-    )
-    return [held.job for held in victims]
+    pending = PendingGrant(want, PackingOrder([machine], lambda _machine: NO_RESOURCES), node.context.effects.now())
+    scope = PreemptionScope.ANY if preempt else PreemptionScope.CHECKPOINTING
+    offer = Preemption(state).offer(machine, pending, scope)
+    return [held.job for held in offer.victims] if offer is not None else []
 
 
 def test_a_task_is_not_stopped_for_others_when_its_job_would_be_late_for_it():
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -8,9 +8,10 @@
 from tealhook.http.parser import MAX_BODY, MAX_HEAD
 from tealhook.loop import Loop
 from tealhook.mesh import Mesh
-from tealhook.partitions.capacity import CapacityManager
+from tealhook.partitions.capacity import MachineCapacity
 from tealhook.partitions.machine import Machine
 from tealhook.partitions.partition import Partition
+from tealhook.partitions.state import PartitionState
 from tealhook.wire import mesh, workers
 from tests.world import World
 
@@ -61,17 +62,18 @@
         report = workers.Heartbeat(f"host-{i}", "10.1.0.1:9000", "small", "za", 1, 1, 1, True)
         machines[report.machine] = machine = Machine(report, node.context.effects.now())
         machine.reconciled = True
-    room = CapacityManager(node.context, 1, node.job_index, node.machine_types, {}, machines)
+    state = PartitionState(node.context, "za", 1, node.job_index, node.machine_types, {}, machines)
+    part = Partition(state, node, node.partition_manager)
     worked = []
-    whole = CapacityManager._fit_on
-    monkeypatch.setattr(CapacityManager, "_fit_on", lambda self, m, need: worked.append(m.name) or whole(self, m, need))
+    whole = MachineCapacity.fit
+    monkeypatch.setattr(MachineCapacity, "fit", lambda self, m, need: worked.append(m.name) or whole(self, m, need))
     shape = mesh.TaskRequirements(4.0, 0.0, 4.0, "img", 0.6, True, (), 1, 5.0)
-    assert room.inquire([shape]).capacities[0].uncached == 600
+    assert part.inquire([shape]).capacities[0].uncached == 600
     assert len(worked) == 300
     worked.clear()
     want = mesh.ReservationRequest("req-000001", "team-0", shape, 3, False, False, [], 1, False, False)
-    assert len(room.reserve(mesh.ReserveRequest("za", [want])).grants[0]) == 3
-    assert room.inquire([shape]).capacities[0].uncached == 597
+    assert len(part.reserve(mesh.ReserveRequest("za", [want])).grants[0]) == 3
+    assert part.inquire([shape]).capacities[0].uncached == 597
     assert len(worked) == 2  # two of them took three tasks
 
 
--- a/tests/test_thousands.py
+++ b/tests/test_thousands.py
@@ -16,11 +16,12 @@
 from tealhook.jobs.index import JobEntry
 from tealhook.loop import Loop
 from tealhook.mesh import transport
-from tealhook.partitions import manager
-from tealhook.partitions.capacity import CapacityManager
+from tealhook.partitions import redirects, released_machines
+from tealhook.partitions.capacity import MachineCapacity
 from tealhook.partitions.machine import Machine
 from tealhook.partitions.partition import Partition
-from tealhook.partitions.worker_calls import Calls
+from tealhook.partitions.state import PartitionState
+from tealhook.partitions.worker_calls import WorkerCalls
 from tealhook.state_store.watcher import LIST_AFTER
 from tealhook.wire import mesh, workers
 from tealhook.wire.job_parser import parse_job
@@ -87,20 +88,20 @@
     """Each is answered once, and is of use after the report that shows the token; what fits is worked out once each."""
     fleet = _Fleet(91)
     worked: list[str] = []
-    whole = CapacityManager._fit_on
-    monkeypatch.setattr(CapacityManager, "_fit_on", lambda self, m, need: worked.append(m.name) or whole(self, m, need))
+    whole = MachineCapacity.fit
+    monkeypatch.setattr(MachineCapacity, "fit", lambda self, m, need: worked.append(m.name) or whole(self, m, need))
     for _ in range(2):
         assert fleet.report_all() == [[200]] * MACHINES
-    room = fleet.partition.capacity
+    part = fleet.partition
     assert sum(machine.reconciled for machine in fleet.partition.machines.values()) == MACHINES
     shape = mesh.TaskRequirements(4.0, 0.0, 4.0, "img", 0.6, True, (), 1, 5.0)
-    assert room.inquire([shape]).capacities[0].uncached == 2 * MACHINES
+    assert part.inquire([shape]).capacities[0].uncached == 2 * MACHINES
     assert len(worked) == MACHINES
     worked.clear()
     want = mesh.ReservationRequest("req-000001", "team-0", shape, 7, False, False, [], 1, False, False)
-    slots = room.reserve(mesh.ReserveRequest(ZONE, [want])).grants[0]
+    slots = part.reserve(mesh.ReserveRequest(ZONE, [want])).grants[0]
     assert len(slots) == 7
-    assert room.inquire([shape]).capacities[0].uncached == 2 * MACHINES - 7
+    assert part.inquire([shape]).capacities[0].uncached == 2 * MACHINES - 7
     assert len(worked) == 4  # the machines that were used
 
 
@@ -169,20 +170,20 @@
         body = _report(i, 0, 1, zone=zone)
         fleet.node.on_request(make_request("POST", "/v1/report", body), lambda status, *_rest: answered.append(status))
     assert answered == [421] * count
-    assert len(fleet.node.partition_manager._redirected_at) == count > manager.LEAST_TRACKED
+    assert len(fleet.node.partition_manager._redirects._redirected_at) == count > redirects.MIN_TRACKED
     fleet.world.run(5 * 15.0)
     for i in range(count, count + 10):
         fleet.node.on_request(make_request("POST", "/v1/report", _report(i, 0, 1, zone=zone)), lambda *_answer: None)
     for _ in range(3):  # what is old goes when the table grows
-        fleet.node.partition_manager._most_tracked = manager.LEAST_TRACKED
+        fleet.node.partition_manager._redirects._max_tracked = redirects.MIN_TRACKED
         fleet.node.on_request(make_request("POST", "/v1/report", _report(1, 0, 2, zone=zone)), lambda *_answer: None)
-    assert len(fleet.node.partition_manager._redirected_at) <= 12
+    assert len(fleet.node.partition_manager._redirects._redirected_at) <= 12
 
 
 def test_released_names_are_remembered_for_as_long_as_copies_come(monkeypatch):
     fleet = _Fleet(95)
     parts = fleet.node.partition_manager
-    names = [f"host-9{i:05d}" for i in range(2 * manager.LEAST_GONE)]
+    names = [f"host-9{i:05d}" for i in range(2 * released_machines.MIN_REMEMBERED)]
     for name in names:
         parts.forget_machine(name)
     statuses: list[int] = []
@@ -190,9 +191,9 @@
         request = make_request("POST", "/v1/report", _report(i, fleet.partition.token, 1))
         fleet.node.on_request(request, lambda status, *_rest: statuses.append(status))
     assert statuses == [503, 503]
-    fleet.world.run(manager.GONE_LEASES * 15.0 + 1.0)
+    fleet.world.run(released_machines.REMEMBERED_LEASES * 15.0 + 1.0)
     parts.forget_machine("host-one-more")
-    assert len(parts._released) <= manager.LEAST_GONE
+    assert len(parts._released) <= released_machines.MIN_REMEMBERED
 
 
 def test_at_a_takeover_workers_are_called_as_connections_allow_and_none_is_left_out():
@@ -210,7 +211,8 @@
             world.at(0.01, lambda: (under_way.remove(addr), answer(None, b"")))
 
     effects.worker = worker
-    calls = Calls(fleet.node.context, 7, {})
+    node = fleet.node
+    calls = WorkerCalls(PartitionState(node.context, ZONE, 7, node.job_index, node.machine_types, {}))
     world.run(10.0)
     addrs = {f"host-{i}": f"10.1.{i // 250}.{i % 250}:9000" for i in range(MACHINES)}
     calls.announce_token(addrs)
