--- a/tealhook/gossip.py
+++ b/tealhook/gossip.py
@@ -5,7 +5,7 @@
 from tealhook.context import NodeContext
 from tealhook.coordination import FLEET_KEY, Ownership, partition_key, team_key
 from tealhook.fleet import FleetManager
-from tealhook.fleet.demand import OrdinaryDemand
+from tealhook.fleet.demand import NonSpotDemand
 from tealhook.jobs import JobIndex
 from tealhook.mesh import Mesh
 from tealhook.partitions import PartitionManager
@@ -69,7 +69,7 @@
         progress = self._team_scheduler.progress()
         usage = self._team_scheduler.usage()
         demand = self._team_scheduler.demand()
-        blocked, placed = self._team_scheduler.ordinary_demand()
+        blocked, placed = self._team_scheduler.non_spot_demand()
         machines = {zone: part.machine_states() for zone, part in self._partition_manager.partitions.items()}
         age = now - self._store.answered_at
         addrs = self._fleet.addresses()
@@ -119,7 +119,7 @@
         zones: set[str] = set()
         usage: list[wire.TeamUsage] = []
         demand: list[wire.Demand] = []
-        ordinary_for = OrdinaryDemand()
+        ordinary_for = NonSpotDemand()
         for at, body in self._gossip.values():
             if now - at > USAGE_LEASES * self._workers.lease_s:
                 continue
--- a/tealhook/partitions/commands.py
+++ b/tealhook/partitions/commands.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from tealhook.jobs.index import JobState
+from tealhook.jobs.job_records import JobState
 from tealhook.partitions.interfaces import HeartbeatResponder
 from tealhook.partitions.launched_jobs import LaunchedJobs
 from tealhook.partitions.machine import AttemptKey, Machine, MachineTask, ReservationState, fits, subtract
@@ -166,18 +166,19 @@
         if not self._reservations.accept_team_token(request.team, request.team_token):
             return
         stopping: dict[str, Machine] = {}
-        for name, job, index, attempt, grace_period_s in request.items:
-            machine = self._machines.get(name)
+        for stop in request.items:
+            machine = self._machines.get(stop.machine)
             if machine is None:
                 continue
-            key = AttemptKey(f"{job}/{index}", attempt)
-            if grace_period_s < 0:
+            key = AttemptKey(f"{stop.job}/{stop.index}", stop.attempt)
+            if stop.grace_period_s < 0:
                 if key in machine.tasks:
                     machine.pending_forgets.add(key)
             elif key in machine.tasks:
                 if key not in machine.pending_stops and machine.tasks[key].alive:
-                    stopping[name] = machine
-                machine.pending_stops[key] = min(grace_period_s, machine.pending_stops.get(key, grace_period_s))
+                    stopping[stop.machine] = machine
+                grace_period_s = machine.pending_stops.get(key, stop.grace_period_s)
+                machine.pending_stops[key] = min(stop.grace_period_s, grace_period_s)
             else:
                 self._revoke(machine, key)
         for machine in stopping.values():
--- a/tealhook/scheduling/commits.py
+++ b/tealhook/scheduling/commits.py
@@ -10,9 +10,13 @@
 
 from tealhook.context import NodeContext
 from tealhook.coordination import partition_key
-from tealhook.jobs.index import JobIndex, JobRecord, JobState, job_key
-from tealhook.jobs.job import Attempt, Job, WriteState, assignment_key, parse_assignment_key
-from tealhook.jobs.records import JobRecords
+from tealhook.errors import CorruptRecordError
+from tealhook.jobs.assignment_record import assignment_key, parse_assignment_key
+from tealhook.jobs.attempt import Attempt
+from tealhook.jobs.index import JobIndex
+from tealhook.jobs.job import Job, WriteState
+from tealhook.jobs.job_records import JobRecord, JobState, job_key
+from tealhook.jobs.record_store import JobRecordStore
 from tealhook.jobs.team import TeamState
 from tealhook.loop.effects import Cancellable
 from tealhook.scheduling.job_writes import SMALLER, TXN_BYTES, Changes, JobWrite, Kind
@@ -68,7 +72,7 @@
         self._workers = context.workers
         self._store = store
         self._job_index = job_index
-        self._records = JobRecords(context, store, job_index)
+        self._records = JobRecordStore(context, store, job_index)
         self._changes = Changes(context, store, self._records)
         self._teams = teams
         self._observer = keeper
@@ -236,7 +240,7 @@
                 job.spec.estimated_run_s,
                 job.spec.deadline_s,
             )
-        self._job_index.apply_record(job.id, self._records.ended(job.team, JobState.DONE), revision)
+        self._job_index.apply_record(job.id, self._records.build_ended_record(job.team, JobState.DONE), revision)
         job.spec = None
         if job.attempts:
             self._observer.stop_all(team_state, job)
@@ -246,7 +250,7 @@
     def _assigned(self, write: JobWrite, launches: dict) -> None:
         """A job's assignments are durable: what was staged may be launched."""
         team_state, job = write.team_state, write.job
-        job.move(write.moved_attempts, write.written_chunks)
+        job.move_attempts(write.moved_attempts, write.written_chunks)
         if 0 in write.written_chunks:
             job.uncertain_chunks.clear()  # a copy of unknown outcome fails on the first piece's stamp from now on
         job.has_deferrable_change = bool(job.dirty_chunks or job.staged.keys() - {a.index for a in write.staged})
@@ -330,12 +334,12 @@
             for job_id, chunk in [parse_assignment_key(row.key, team_state.name)]
             if job_id == job.id
         ]
-        job.forget_places({chunk for row, chunk in found if row.mod_revision == revisions.get(chunk)})
+        job.forget_chunks_except({chunk for row, chunk in found if row.mod_revision == revisions.get(chunk)})
         for row, chunk in found:
             if row.mod_revision == revisions.get(chunk):
                 job.chunk_revisions[chunk] = row.mod_revision
                 continue
             try:
                 job.load(chunk, row.value, row.mod_revision, now, self.proved_off.get(job.id))
-            except ValueError as exc:
+            except CorruptRecordError as exc:
                 log.error("%s", exc)
--- a/tests/test_rounds.py
+++ b/tests/test_rounds.py
@@ -2,7 +2,7 @@
 
 import json
 
-from tealhook.jobs.index import JobEntry
+from tealhook.jobs.job_entry import JobEntry
 from tealhook.partitions.machine import AttemptKey, Machine, MachineTask
 from tealhook.partitions.packing import PackingOrder
 from tealhook.partitions.pending_grant import PendingGrant
