--- a/tealhook/jobs/index.py
+++ b/tealhook/jobs/index.py
@@ -41,8 +41,8 @@
     def __init__(self, context: NodeContext, store: StateClient) -> None:
         """An empty index; `start` fills it and keeps it up to date."""
         self._effects = context.effects
-        memory_bytes = context.settings.params.limits.mem_mb * 2**20
-        self._max_ended = max(MIN_ENDED_JOBS, int(memory_bytes * ENDED_JOBS_MEMORY_SHARE / ENDED_JOB_BYTES))
+        limits = context.settings.params.limits
+        self._max_ended = max(MIN_ENDED_JOBS, int(limits.memory_bytes(ENDED_JOBS_MEMORY_SHARE) / ENDED_JOB_BYTES))
         # No job has been forgotten, and no record was malformed: a job that the index lacks does not exist.
         self.is_complete = True
         self.active: dict[str, JobEntry] = {}
--- a/tealhook/runtime.py
+++ b/tealhook/runtime.py
@@ -52,7 +52,7 @@
             self.loop,
             settings.services.state,
             max_connections=STATE_CONNECTIONS,
-            max_body=max(MIN_ANSWER_BYTES, int(limits.mem_mb * 2**20 * ANSWER_SHARE)),
+            max_body=max(MIN_ANSWER_BYTES, int(limits.memory_bytes(ANSWER_SHARE))),
         )
         self._cloud = HttpClient(self.loop, settings.services.cloud, max_connections=CLOUD_CONNECTIONS, max_idle=1)
         self._workers: dict[str, HttpClient] = {}
@@ -96,7 +96,7 @@
     controller = Controller(runtime, settings, policy)
     runtime.transport = _open_mesh_transport(runtime.loop, settings, controller)
     server = _open_http_server(runtime, settings, controller)
-    controller.partition_manager.crowded = lambda: server.crowded
+    controller.partition_manager.connections = server
     _reconnect_unheard_peers(runtime, settings, controller)
     controller.start()
     log.info(
