--- a/tealhook/admission/admission.py
+++ b/tealhook/admission/admission.py
@@ -181,7 +181,7 @@
         job = submission.job
 
         def done(outcome: Outcome, revision: int, _failed: list[str]) -> None:
-            if outcome is Outcome.OK:
+            if outcome is Outcome.COMMITTED:
                 self._job_index.apply_record(job, submission.record, revision)
                 self._reply_status(201, job, JobState.ACTIVE, reply)
             elif outcome in (Outcome.REFUSED, Outcome.REJECTED):
@@ -324,7 +324,7 @@
 
     def _cancel(self, job: str, team: str, version: int, reply: Reply, tries: int) -> None:
         def done(outcome: Outcome, _uncertain: list[str]) -> None:
-            if outcome is Outcome.OK:
+            if outcome is Outcome.COMMITTED:
                 reply(200, dumps(JobStatus(job, JobState.CANCELLED)))
             elif outcome in (Outcome.REFUSED, Outcome.REJECTED) or tries <= 0:
                 self._reply_retry(reply, "state service unavailable")
--- a/tealhook/coordination/ownership.py
+++ b/tealhook/coordination/ownership.py
@@ -24,7 +24,9 @@
 )
 from tealhook.coordination.stability import Stability
 from tealhook.loop.effects import every
-from tealhook.state_store.client import CallPriority, Outcome, ReadKind, RenewKind, StateClient
+from tealhook.state_store.client import StateClient
+from tealhook.state_store.request_queue import CallPriority
+from tealhook.state_store.results import Outcome, ReadOutcome, ReadResult, RenewalOutcome
 from tealhook.state_store.watcher import Watcher
 from tealhook.wire import state as wire
 
@@ -217,8 +219,9 @@
 
     # -- the lease
 
-    def _end_former_lease(self, kind: ReadKind, row: wire.KeyValue | None) -> None:
-        if kind == "unknown":
+    def _end_former_lease(self, result: ReadResult) -> None:
+        row = result.item
+        if result.outcome is ReadOutcome.UNKNOWN:
             self._effects.later(0.1 + 0.2 * self._effects.rng.random(), self.start)
             return
         if row is not None and row.lease_id is not None:
@@ -244,13 +247,13 @@
         self._store.grant_lease(self.lease_ttl_s, done)
 
     def _renew(self, lease: int) -> None:
-        def done(kind: RenewKind) -> None:
-            if kind == "ended":
+        def done(kind: RenewalOutcome) -> None:
+            if kind is RenewalOutcome.EXPIRED:
                 log.info("lease %s ended", lease)
                 self._lease = None
                 self._acquire_lease()
                 return
-            if kind == "ok":
+            if kind is RenewalOutcome.RENEWED:
                 self._effects.later(self.lease_ttl_s / 3, partial(self._renew, lease))
             else:
                 self._effects.later(self.lease_ttl_s / 12, partial(self._renew, lease))
@@ -306,14 +309,14 @@
             if outcome is Outcome.REJECTED:
                 self._max_claims = max(1, len(keys) // 2)
                 self._claim_not_before = self._effects.now() + self.lease_ttl_s / 12
-            if outcome is Outcome.OK:
+            if outcome is Outcome.COMMITTED:
                 self._max_claims = min(MOST_CLAIMS, 2 * self._max_claims)
                 for key in keys:
                     known = self._records.get(key)
                     if known is None or known.token < revision:
                         self._records[key] = OwnershipRecord(value, revision)
                 self._after_change()
-            elif outcome is Outcome.CONFLICT:
+            elif outcome is Outcome.CONFLICTED:
                 rest = [key for key in keys if key not in failed]
                 if rest and len(rest) < len(keys):
                     self._write(rest)
--- a/tealhook/coordination/versions.py
+++ b/tealhook/coordination/versions.py
@@ -13,7 +13,7 @@
 
 from tealhook.context import NodeContext
 from tealhook.coordination.ownership import NODE_PREFIX
-from tealhook.state_store.client import CallPriority, Outcome, StateClient
+from tealhook.state_store import CallPriority, Outcome, StateClient
 from tealhook.wire import state as wire
 
 PREFIX = "version/"
@@ -82,7 +82,7 @@
         self._store.transact(conditions, [wire.put(AGREED_KEY, {"v": VERSION})], CallPriority.ADMIT, self._on_written)
 
     def _on_written(self, outcome: Outcome, _epoch: int, _failed: list[str]) -> None:
-        self._read_again(0.0 if outcome is Outcome.OK else 0.5)
+        self._read_again(0.0 if outcome is Outcome.COMMITTED else 0.5)
 
 
 def _version(value: Any) -> int:
--- a/tealhook/fleet/machine_types.py
+++ b/tealhook/fleet/machine_types.py
@@ -254,9 +254,9 @@
         def answered(outcome: Outcome, revision: int, _failed: list[str]) -> None:
             replaced = any(change.key == TYPES_KEY for change in group)
             stamp = revision if replaced else first_stamp
-            if outcome is Outcome.OK and rest:
+            if outcome is Outcome.COMMITTED and rest:
                 self._carry_out(token, stamp, rest, done)
             else:
-                done(outcome is Outcome.OK, stamp)
+                done(outcome is Outcome.COMMITTED, stamp)
 
         self._store.transact(when, [change.operation for change in group], CallPriority.ADMIT, answered)
--- a/tealhook/jobs/records.py
+++ b/tealhook/jobs/records.py
@@ -14,7 +14,7 @@
 
 from tealhook.context import NodeContext
 from tealhook.jobs.index import JobIndex, JobRecord, job_key, parse_record
-from tealhook.state_store import CallPriority, Outcome, StateClient
+from tealhook.state_store import CallPriority, Outcome, ReadResult, StateClient
 from tealhook.state_store.client import CALL_TIMEOUT_S
 from tealhook.wire import state as state_wire
 
@@ -53,11 +53,11 @@
     ) -> None:
         """Read a job's record, and leave the index of jobs as it is."""
 
-        def answered(kind: str, row: state_wire.KeyValue | None) -> None:
-            if row is None:
-                done(kind, None, 0)
+        def answered(result: ReadResult) -> None:
+            if result.item is None:
+                done(result.outcome, None, 0)
             else:
-                done(kind, parse_record(row.value), row.mod_revision)
+                done(result.outcome, parse_record(result.item.value), result.item.mod_revision)
 
         self._store.get(job_key(job), answered, priority, wait, timeout)
 
@@ -98,11 +98,11 @@
             changes.append(change)
 
         def written(outcome: Outcome, revision: int, failed: list[str]) -> None:
-            if outcome is Outcome.OK:
+            if outcome is Outcome.COMMITTED:
                 for job, (record, _version) in ends.items():
                     self._job_index.apply_record(job, record, revision)
                 done(outcome, [])
-            elif outcome is Outcome.UNSURE:
+            elif outcome is Outcome.UNKNOWN:
                 done(outcome, list(ends))
             else:
                 done(outcome, [job for job in ends if job_key(job) in failed])
--- a/tealhook/scheduling/commits.py
+++ b/tealhook/scheduling/commits.py
@@ -120,7 +120,7 @@
             self._send(urgent + rest, CallPriority.ASSIGN)
         elif soft:
             soft.sort(key=lambda pair: pair[1].deferrable_since)
-            self._send(soft, CallPriority.KEEP)
+            self._send(soft, CallPriority.BOOKKEEPING)
 
     def _send(self, pairs: list[tuple[TeamState, Job]], priority: CallPriority) -> None:
         room = min(self._store.max_operations, max(2, self._store.available_writes(priority)))
@@ -162,16 +162,16 @@
         launches: dict[tuple[str, str], list[tuple[str, Attempt]]] = {}
         if outcome is Outcome.REJECTED:
             self._rejected(batch)
-        elif outcome is Outcome.OK:
+        elif outcome is Outcome.COMMITTED:
             self._max_jobs = min(MOST_JOBS, 2 * self._max_jobs)
         for write in batch:
             team_state, job = write.team_state, write.job
             job.write_state = WriteState.SETTLED
             if self._teams.get(team_state.name) is not team_state:
                 continue
-            if outcome is Outcome.OK:
+            if outcome is Outcome.COMMITTED:
                 self._durable(write, revision, launches)
-            elif outcome is Outcome.UNSURE:
+            elif outcome is Outcome.UNKNOWN:
                 job.dirty_chunks |= write.written_chunks
                 if 0 not in write.written_chunks:
                     job.uncertain_chunks |= write.written_chunks
--- a/tealhook/scheduling/dependencies.py
+++ b/tealhook/scheduling/dependencies.py
@@ -79,7 +79,7 @@
 
         def done(outcome: Outcome, uncertain: list[str]) -> None:
             self._cancelling.difference_update(jobs)
-            if outcome is Outcome.OK:
+            if outcome is Outcome.COMMITTED:
                 return
             if outcome is Outcome.REJECTED:
                 self._max_cancelled = max(1, len(jobs) // 2)
@@ -88,7 +88,7 @@
             again = [job for job in jobs if job not in uncertain]
             self._due_jobs.update(dict.fromkeys(again))
             if again:
-                self._schedule(self._pause if outcome is Outcome.CONFLICT else 10 * self._pause)
+                self._schedule(self._pause if outcome is Outcome.CONFLICTED else 10 * self._pause)
 
         self._records.end(
             {
--- a/tealhook/state_store/__init__.py
+++ b/tealhook/state_store/__init__.py
@@ -1,8 +1,9 @@
-"""The state service: client with request budgets, watches and linearizable reads."""
+"""The state store: client within the rate limits, watches and linearizable reads."""
 
-from tealhook.state_store.client import Outcome, StateClient
+from tealhook.state_store.client import StateClient
 from tealhook.state_store.read_index import ReadIndex
 from tealhook.state_store.request_queue import CallPriority
+from tealhook.state_store.results import Outcome, ReadOutcome, ReadResult
 from tealhook.state_store.watcher import Watcher
 
-__all__ = ["CallPriority", "Outcome", "ReadIndex", "StateClient", "Watcher"]
+__all__ = ["CallPriority", "Outcome", "ReadIndex", "ReadOutcome", "ReadResult", "StateClient", "Watcher"]
--- a/tealhook/state_store/client.py
+++ b/tealhook/state_store/client.py
@@ -1,47 +1,60 @@
-"""Calls to the state service: reads, watches, transactions and leases."""
+"""Client of the state store: reads, lists, watches, compare-and-swap transactions and leases."""
 
 from __future__ import annotations
 
-import enum
 import logging
 from collections.abc import Callable, Sequence
-from typing import Any, Literal
+from typing import Any
 from urllib.parse import quote
 
 import msgspec
 
 from tealhook.context import NodeContext
-from tealhook.state_store.request_queue import CallPriority, RequestQueue
+from tealhook.loop.effects import Answer
+from tealhook.state_store.request_queue import (
+    TOO_MANY_REQUESTS,
+    UNAVAILABLE,
+    CallPriority,
+    RequestQueue,
+    StateRequest,
+)
+from tealhook.state_store.results import (
+    Outcome,
+    ReadOutcome,
+    ReadResult,
+    RenewalOutcome,
+    WatchOutcome,
+    WatchResult,
+)
 from tealhook.wire import state as wire
 from tealhook.wire.common import dumps
 
-log = logging.getLogger("tealhook.store")
+log = logging.getLogger(__name__)
 
 CALL_TIMEOUT_S = 2.0
-RECORD_SHARE = 0.97  # of what a value may hold; the rest allows for another way of counting
+RECORD_SHARE = 0.97  # of the size limit of a value; the rest allows for another way of counting
+LIST_PAGE_SIZE = 500
+LOGGED_BYTES = 200  # of the body of an answer with an error
 
+# HTTP statuses of the state store.
+OK = 200
+NO_CONTENT = 204
+BAD_REQUEST = 400
+NOT_FOUND = 404
+CONFLICT = 409
+GONE = 410  # the revision asked from has been compacted
 
-class Outcome(enum.Enum):
-    """What is known of a transaction after its answer, or for want of one."""
-
-    OK = "ok"
-    CONFLICT = "conflict"
-    REFUSED = "refused"  # certainly not executed; the same may pass later
-    REJECTED = "rejected"  # certainly not executed, and never will be as it is
-    UNSURE = "unsure"  # may have been executed, or may yet be
-
-
-ReadKind = Literal["ok", "absent", "unknown"]
-WatchKind = Literal["ok", "old", "unknown"]  # old: the revision asked from is no longer kept, so list anew
-RenewKind = Literal["ok", "ended", "unknown"]
-TxnDone = Callable[[Outcome, int, list[str]], Any]  # of the epoch if executed, and of the failed keys if not
+OnRead = Callable[[ReadResult], Any]
+OnList = Callable[[list[wire.KeyValue] | None, int], Any]  # of the key-values and the revision; (None, 0): no answer
+OnWatch = Callable[[WatchResult], Any]
+OnTransaction = Callable[[Outcome, int, list[str]], Any]  # of the revision if committed, and of the keys that conflict
 
 
 class StateClient(RequestQueue):
-    """One node's calls to the state service, queued by priority."""
+    """One node's requests to the state store, queued by priority."""
 
     def __init__(self, context: NodeContext) -> None:
-        """Budgets and the limits of what may be written come from the settings."""
+        """Rate limits and the limits of what may be written come from the settings."""
         super().__init__(context)
         limits = context.settings.params.state.least
         self.max_operations = limits.txn_ops
@@ -57,158 +70,181 @@
     def get(
         self,
         key: str,
-        done: Callable[[ReadKind, wire.KeyValue | None], Any],
+        done: OnRead,
         priority: CallPriority = CallPriority.ADMIT,
         wait: float = 1.0,
         timeout: float = CALL_TIMEOUT_S,
     ) -> None:
-        """`done("ok", row)`, `done("absent", None)` or `done("unknown", None)`."""
+        """Read one key. `wait`: seconds for tokens, `timeout`: seconds for the answer, here and below."""
 
         def answer(status: int | None, body: bytes) -> None:
-            try:
-                if status == 200:
-                    done("ok", wire.row_decoder.decode(body))
-                    return
-                if status == 404:
-                    wire.absent_decoder.decode(body)
-                    done("absent", None)
-                    return
-            except msgspec.DecodeError as exc:
-                log.error("state service: bad answer to a read: %s", exc)
-            done("unknown", None)
+            done(_parse_read(status, body))
 
-        self._submit(priority, "GET", "/store/" + quote(key, safe="/"), None, 0, wait, timeout, answer)
+        self._get(priority, "/store/" + quote(key, safe="/"), wait, timeout, answer)
 
     def list(
         self,
         prefix: str,
-        done: Callable[[list[wire.KeyValue] | None, int], Any],
-        page: int = 500,
+        done: OnList,
+        page: int = LIST_PAGE_SIZE,
         priority: CallPriority = CallPriority.ASSIGN,
         wait: float = 5.0,
         timeout: float = 2 * CALL_TIMEOUT_S,
     ) -> None:
-        """All rows below a prefix with the epoch of the first page, or (None, 0)."""
-        rows: list[wire.KeyValue] = []
-        first: list[int] = []
+        """Read all key-values below a prefix, page by page; `done` also gets the revision of the first page."""
+        items: list[wire.KeyValue] = []
+        revisions: list[int] = []  # of the pages
 
         def answer(status: int | None, body: bytes) -> None:
-            if status != 200:
+            if status != OK:
                 done(None, 0)
                 return
             try:
-                chunk = wire.rows_decoder.decode(body)
+                reply = wire.rows_decoder.decode(body)
             except msgspec.DecodeError as exc:
-                log.error("state service: bad answer to a list: %s", exc)
+                log.error("state store: malformed answer to a list: %s", exc)
                 done(None, 0)
                 return
-            rows.extend(chunk.items)
-            first.append(chunk.revision)
-            if chunk.more and chunk.items:
-                ask(chunk.items[-1].key)
+            items.extend(reply.items)
+            revisions.append(reply.revision)
+            if reply.more and reply.items:
+                request_page(reply.items[-1].key)
             else:
-                done(rows, first[0])
+                done(items, revisions[0])
 
-        def ask(after: str) -> None:
+        def request_page(after: str) -> None:
             target = f"/store?starts={quote(prefix, safe='/')}&page={page}"
             if after:
                 target += f"&after={quote(after, safe='/')}"
-            self._submit(priority, "GET", target, None, 0, wait, timeout, answer)
+            self._get(priority, target, wait, timeout, answer)
 
-        ask("")
+        request_page("")
 
     def watch(
         self,
         prefix: str,
         after: int,
         wait_s: float,
-        done: Callable[[WatchKind, wire.WatchReply | None], Any],
+        done: OnWatch,
         *,
         priority: CallPriority = CallPriority.ADMIT,
-        queue_s: float = 5.0,
-        spare_s: float = CALL_TIMEOUT_S,
+        queue_timeout_s: float = 5.0,
+        answer_timeout_s: float = CALL_TIMEOUT_S,
     ) -> None:
-        """`done("ok", watched)`, `done("old", None)` or `done("unknown", None)`.
+        """Wait for changes below a prefix since revision `after`.
 
-        `wait_s`: how long the service may hold the call while nothing changes; 0 asks for what has changed so far.
-        `queue_s`: for tokens; `spare_s`: for the answer, beyond `wait_s`.
+        `wait_s`: how long the store may hold the request open while nothing changes; 0 asks for what has changed so
+        far. `queue_timeout_s`: for tokens; `answer_timeout_s`: for the answer, beyond `wait_s`.
         """
 
         def answer(status: int | None, body: bytes) -> None:
-            if status == 200:
-                try:
-                    done("ok", wire.watched_decoder.decode(body))
-                    return
-                except msgspec.DecodeError as exc:
-                    log.error("state service: bad answer to a watch: %s", exc)
-            done("old" if status == 410 else "unknown", None)
+            done(_parse_watch(status, body))
 
         target = f"/watch?starts={quote(prefix, safe='/')}&after={after}&wait_ms={int(wait_s * 1000)}"
-        self._submit(priority, "GET", target, None, 0, queue_s, wait_s + spare_s, answer)
+        self._get(priority, target, queue_timeout_s, wait_s + answer_timeout_s, answer)
+
+    def _get(self, priority: CallPriority, target: str, wait: float, timeout: float, answer: Answer) -> None:
+        self._submit(priority, StateRequest("GET", target, None, 0, wait, timeout, answer))
 
-    # -- changes
+    # -- writes
 
     def transact(
         self,
         conditions: wire.Conditions,
         operations: Sequence[wire.Operation],
         priority: CallPriority,
-        done: TxnDone,
+        done: OnTransaction,
         wait: float = 1.0,
         timeout: float = CALL_TIMEOUT_S,
     ) -> None:
-        """Execute all operations, or none where a condition fails; `done(outcome, epoch, failed keys)`."""
+        """Compare and swap: execute all operations, or none where a condition fails."""
 
         def answer(status: int | None, body: bytes) -> None:
-            try:
-                if status == 200:
-                    done(Outcome.OK, wire.committed_decoder.decode(body).revision, [])
-                    return
-                if status == 409:
-                    done(Outcome.CONFLICT, 0, wire.conflict_decoder.decode(body).failed_keys)
-                    return
-            except msgspec.DecodeError as exc:
-                log.error("state service: bad answer to a transaction: %s", exc)
-                done(Outcome.UNSURE, 0, [])
-                return
-            if status == 400:
-                ended = b"no such lease" in body  # as after any cut that outlasts it: the renewal sees to that
-                log.log(logging.INFO if ended else logging.ERROR, "state service: transaction refused: %s", body[:200])
-                if not ended:
-                    done(Outcome.REJECTED, 0, [])
-                    return
-            # 503 and 429 say that it was not executed; silence and anything unknown say nothing.
-            done(Outcome.REFUSED if status in (400, 429, 503) else Outcome.UNSURE, 0, [])
+            done(*_parse_transaction(status, body))
 
         body = wire.encode_transaction(conditions, operations)
-        self._submit(priority, "POST", "/txn", body, max(1, len(operations)), wait, timeout, answer)
+        self._submit(priority, StateRequest("POST", "/txn", body, max(1, len(operations)), wait, timeout, answer))
 
     # -- leases
 
     def grant_lease(self, ttl_s: float, done: Callable[[int | None], Any]) -> None:
-        """Create a lease that ends `ttl_s` after its last renewal; `done(lease id or None)`."""
+        """Create a lease that expires `ttl_s` after its last renewal; `done(lease id, or None without an answer)`."""
 
         def answer(status: int | None, body: bytes) -> None:
-            try:
-                done(wire.granted_decoder.decode(body).lease_id if status == 200 else None)
-            except msgspec.DecodeError:
-                done(None)
+            done(_parse_lease(status, body))
 
         body = dumps({"ttl_ms": int(ttl_s * 1000)})
-        self._submit(CallPriority.RENEW, "POST", "/grants", body, 0, 1.0, CALL_TIMEOUT_S, answer)
+        self._submit(CallPriority.RENEW, StateRequest("POST", "/grants", body, 0, 1.0, CALL_TIMEOUT_S, answer))
 
-    def renew_lease(self, lease: int, timeout: float, done: Callable[[RenewKind], Any]) -> None:
-        """`done("ok")`, `done("ended")` or `done("unknown")`."""
+    def renew_lease(self, lease_id: int, timeout: float, done: Callable[[RenewalOutcome], Any]) -> None:
+        """Renew a lease for its whole time to live."""
 
         def answer(status: int | None, _body: bytes) -> None:
-            done("ok" if status == 200 else "ended" if status == 404 else "unknown")
+            if status == OK:
+                done(RenewalOutcome.RENEWED)
+            else:
+                done(RenewalOutcome.EXPIRED if status == NOT_FOUND else RenewalOutcome.UNKNOWN)
 
-        self._submit(CallPriority.RENEW, "POST", f"/grants/{lease}/renew", b"{}", 0, 0.5, timeout, answer)
+        target = f"/grants/{lease_id}/renew"
+        self._submit(CallPriority.RENEW, StateRequest("POST", target, b"{}", 0, 0.5, timeout, answer))
 
-    def revoke_lease(self, lease: int, done: Callable[[bool], Any]) -> None:
-        """End a lease and with it every key under it; `done(whether it has certainly ended)`."""
+    def revoke_lease(self, lease_id: int, done: Callable[[bool], Any]) -> None:
+        """Delete a lease and with it every key under it; `done(whether it certainly exists no more)`."""
 
         def answer(status: int | None, _body: bytes) -> None:
-            done(status in (200, 204, 404))
-
-        self._submit(CallPriority.RENEW, "DELETE", f"/grants/{lease}", None, 0, 1.0, CALL_TIMEOUT_S, answer)
+            done(status in (OK, NO_CONTENT, NOT_FOUND))
+
+        target = f"/grants/{lease_id}"
+        self._submit(CallPriority.RENEW, StateRequest("DELETE", target, None, 0, 1.0, CALL_TIMEOUT_S, answer))
+
+
+def _parse_read(status: int | None, body: bytes) -> ReadResult:
+    try:
+        if status == OK:
+            return ReadResult(ReadOutcome.FOUND, wire.row_decoder.decode(body))
+        if status == NOT_FOUND:
+            wire.absent_decoder.decode(body)  # a 404 of anything else, such as a proxy, proves nothing
+            return ReadResult(ReadOutcome.ABSENT)
+    except msgspec.DecodeError as exc:
+        log.error("state store: malformed answer to a read: %s", exc)
+    return ReadResult(ReadOutcome.UNKNOWN)
+
+
+def _parse_watch(status: int | None, body: bytes) -> WatchResult:
+    if status == OK:
+        try:
+            return WatchResult(WatchOutcome.CHANGES, wire.watched_decoder.decode(body))
+        except msgspec.DecodeError as exc:
+            log.error("state store: malformed answer to a watch: %s", exc)
+    return WatchResult(WatchOutcome.COMPACTED if status == GONE else WatchOutcome.UNKNOWN)
+
+
+def _parse_transaction(status: int | None, body: bytes) -> tuple[Outcome, int, list[str]]:
+    try:
+        if status == OK:
+            return Outcome.COMMITTED, wire.committed_decoder.decode(body).revision, []
+        if status == CONFLICT:
+            return Outcome.CONFLICTED, 0, wire.conflict_decoder.decode(body).failed_keys
+    except msgspec.DecodeError as exc:
+        log.error("state store: malformed answer to a transaction: %s", exc)
+        return Outcome.UNKNOWN, 0, []
+    if status == BAD_REQUEST:
+        return _parse_bad_request(body), 0, []
+    # 503 and 429 say that it was not executed; no answer, and any other status, say nothing.
+    return Outcome.REFUSED if status in (TOO_MANY_REQUESTS, UNAVAILABLE) else Outcome.UNKNOWN, 0, []
+
+
+def _parse_lease(status: int | None, body: bytes) -> int | None:
+    try:
+        return wire.granted_decoder.decode(body).lease_id if status == OK else None
+    except msgspec.DecodeError as exc:
+        log.error("state store: malformed answer to the request of a lease: %s", exc)
+        return None
+
+
+def _parse_bad_request(body: bytes) -> Outcome:
+    if b"no such lease" in body:  # as after any network partition that outlasts the lease: its renewal handles that
+        log.info("state store: transaction refused, its lease has expired: %s", body[:LOGGED_BYTES])
+        return Outcome.REFUSED
+    log.error("state store: transaction rejected: %s", body[:LOGGED_BYTES])
+    return Outcome.REJECTED
--- a/tealhook/state_store/read_index.py
+++ b/tealhook/state_store/read_index.py
@@ -1,8 +1,8 @@
-"""Linearizable reads of a watched view: one call to the state service serves every question that waits for it.
+"""Linearizable reads of a watched view: one request to the state store serves every read that waits for it.
 
-A poll has to be answered by what is written when it arrives. With a read for each of them, a storm of polls used up the
-budget that leases, assignments and cancellations need. Here the calls grow with time instead of the number of
-questions: at most one begins per `gap_s`, and each is sent after all the questions that it answers have arrived.
+A poll has to be answered by what is committed when it arrives. With a read for each of them, a burst of polls used up
+the rate limits that leases, assignments and cancellations need. Here the requests grow with time instead of the number
+of reads: at most one is sent per `_min_interval_s`, after all the reads that it serves have arrived.
 """
 
 from __future__ import annotations
@@ -12,61 +12,63 @@
 
 from tealhook.context import NodeContext
 from tealhook.loop.effects import Cancellable
+from tealhook.state_store.request_queue import NEVER
 from tealhook.state_store.watcher import Watcher
 
-Fresh = Callable[[bool], Any]  # told whether the view shows all that was written before the question
+OnRefresh = Callable[[bool], Any]  # told whether the view shows all that was committed before the read
 
-READS_SHARE = 0.2  # of this node's even share of the requests to the state service
+READS_SHARE = 0.2  # of this node's even share of the request rate limit
+SLOW_SHARE = 0.25  # of the timeout: a request that takes longer does not delay the next one
 
 
 class ReadIndex:
-    """Questions about one watched view."""
+    """Linearizable reads of one watched view."""
 
     def __init__(self, context: NodeContext, watcher: Watcher, timeout_s: float) -> None:
-        """`timeout_s`: a call that takes longer leaves its questions without an answer."""
+        """`timeout_s`: a request that takes longer fails the reads that wait for it."""
         self._effects = context.effects
         self._watcher = watcher
         self._timeout_s = timeout_s
         params = context.settings.params
-        self._gap_s = max(1, params.nodes) / (READS_SHARE * max(1.0, params.state.least.rps))
-        self._slow_s = timeout_s / 4  # a call that has taken so long does not hold up the next one
-        self._waiting: list[Fresh] = []
+        self._min_interval_s = max(1, params.nodes) / (READS_SHARE * max(1.0, params.state.least.rps))
+        self._slow_s = SLOW_SHARE * timeout_s
+        self._waiting: list[OnRefresh] = []
         self._timer: Cancellable | None = None
-        self._sent_at = -1e9
+        self._sent_at = NEVER
         self._in_flight = 0
 
-    def read(self, done: Fresh) -> None:
-        """Bring the view up to date, together with all others who ask at about the same time."""
+    def read(self, done: OnRefresh) -> None:
+        """Bring the view up to date, by one request for all reads that arrive at about the same time."""
         self._waiting.append(done)
         self._schedule()
 
     def _schedule(self) -> None:
         if self._timer is not None or not self._waiting:
             return
-        pause = self._slow_s if self._in_flight else self._gap_s
-        left = self._sent_at + pause - self._effects.now()
-        if left <= 0.0:
+        interval = self._slow_s if self._in_flight else self._min_interval_s
+        remaining = self._sent_at + interval - self._effects.now()
+        if remaining <= 0.0:
             self._send()
         else:
-            self._timer = self._effects.later(left, self._due)
+            self._timer = self._effects.later(remaining, self._on_timer)
 
-    def _due(self) -> None:
+    def _on_timer(self) -> None:
         self._timer = None
         if self._waiting:
             self._send()
 
     def _send(self) -> None:
-        asked, self._waiting = self._waiting, []
+        served, self._waiting = self._waiting, []
         self._sent_at = self._effects.now()
         self._in_flight += 1
 
-        def answered(fresh: bool) -> None:
+        def refreshed(fresh: bool) -> None:
             self._in_flight -= 1
-            if self._timer is not None:  # it was set for a slow call
+            if self._timer is not None:  # it was set in case that this request was slow
                 self._timer.cancel()
                 self._timer = None
-            for done in asked:
+            for done in served:
                 done(fresh)
             self._schedule()
 
-        self._watcher.refresh(self._timeout_s, answered)
+        self._watcher.refresh(self._timeout_s, refreshed)
--- a/tealhook/state_store/watcher.py
+++ b/tealhook/state_store/watcher.py
@@ -1,4 +1,4 @@
-"""A complete, current view of the keys below a prefix."""
+"""Keeps a view of the keys below a prefix complete and current: one list, then watches."""
 
 from __future__ import annotations
 
@@ -6,23 +6,26 @@
 from typing import Any
 
 from tealhook.loop.effects import Effects
-from tealhook.state_store.client import CallPriority, StateClient, WatchKind
+from tealhook.state_store.client import StateClient
+from tealhook.state_store.request_queue import NEVER, CallPriority
+from tealhook.state_store.results import WatchOutcome, WatchResult
 from tealhook.wire import state as wire
 
-RETRY_S = 0.25
+RETRY_S = 0.25  # added to the pause before a retry with each failure in a row
 MAX_RETRY_S = 1.0
-REFRESH_WAIT_S = 1.0  # for tokens
-SERVED_WAITS = 4  # of the time for which a watch is held open: the service that answered anything since is up
-LIST_AFTER = 3  # watches without an answer, one after the other, while the service answers other calls
+REFRESH_QUEUE_TIMEOUT_S = 1.0  # for tokens
+AVAILABLE_WAITS = 4  # times the hold-open time of a watch: a store that has answered anything within it is available
+LIST_AFTER = 3  # watches in a row without an answer, while the store answers other requests
 
 
 class Watcher:
-    """Lists once, then follows changes; lists anew when it fell too far behind.
+    """Lists the keys once, then follows their changes; lists anew when the revision that it knows was compacted.
 
-    It also does when watches go unanswered while other calls are served: an answer holds all changes, whatever their
-    size, and after a long cut it may be larger than this process can take. Asked for again it only grows.
+    It also lists anew when watches go unanswered while other requests are served: an answer holds all changes, whatever
+    their size, and after a long network partition it may be larger than this process can take. A retry only makes it
+    larger.
 
-    `on_rows(rows)` gives the whole state, `on_events(events)` what came after. `viewed_at` is when the
+    `on_snapshot(items)` is told of all key-values, `on_events(events)` of changes since. `viewed_at` is when the
     request was sent whose answer last showed everything: the view is at least as new as that.
     """
 
@@ -32,20 +35,20 @@
         store: StateClient,
         prefix: str,
         wait_s: float,
-        on_rows: Callable[[list[wire.KeyValue]], Any],
+        on_snapshot: Callable[[list[wire.KeyValue]], Any],
         on_events: Callable[[list[wire.WatchEvent]], Any],
     ) -> None:
-        """`wait_s`: how long the state service may hold a watch open while nothing changes."""
+        """`wait_s`: how long the state store may hold a watch open while nothing changes."""
         self._effects = effects
         self._store = store
         self._prefix = prefix
         self._wait_s = wait_s
-        self._on_rows = on_rows
+        self._on_snapshot = on_snapshot
         self._on_events = on_events
-        self._epoch = 0
-        self._failures = 0
-        self.viewed_at = -1e9
-        self.synced = False
+        self._revision = 0
+        self._failures = 0  # lists and watches without an answer, in a row
+        self.viewed_at = NEVER
+        self.synced = False  # whether the keys have been listed
 
     def start(self) -> None:
         """List the keys, then follow their changes for as long as the process runs."""
@@ -56,37 +59,38 @@
         return self._effects.now() - self.viewed_at
 
     def refresh(self, timeout_s: float, done: Callable[[bool], Any]) -> None:
-        """Bring the view up to date with one call; `done(whether it shows all that was written before this call)`."""
-        sent = self._effects.now()
+        """Bring the view up to date with one request; `done(whether it shows all that was committed before)`."""
+        sent_at = self._effects.now()
 
-        def answered(_kind: WatchKind, watched: wire.WatchReply | None) -> None:
-            if watched is not None:
-                self._advance(watched, sent)
-            # An answer that waited in a buffer while this process stood still is as old as that.
-            done(watched is not None and self._effects.now() - sent <= timeout_s + REFRESH_WAIT_S)
+        def answered(result: WatchResult) -> None:
+            if result.reply is not None:
+                self._apply(result.reply, sent_at)
+            # An answer that waited in a buffer while this process was suspended is as old as the suspension is long.
+            is_recent = self._effects.now() - sent_at <= timeout_s + REFRESH_QUEUE_TIMEOUT_S
+            done(result.reply is not None and is_recent)
 
         self._store.watch(
             self._prefix,
-            self._epoch,
+            self._revision,
             0.0,
             answered,
             priority=CallPriority.ADMIT,
-            queue_s=REFRESH_WAIT_S,
-            spare_s=timeout_s,
+            queue_timeout_s=REFRESH_QUEUE_TIMEOUT_S,
+            answer_timeout_s=timeout_s,
         )
 
-    def _advance(self, watched: wire.WatchReply, sent: float) -> None:
-        """Take in the answer to a watch asked for at `sent`. Answers may come in another order than they were asked."""
+    def _apply(self, reply: wire.WatchReply, sent_at: float) -> None:
+        """Apply the answer to a watch that was sent at `sent_at`; answers may arrive in another order than sent."""
         self._failures = 0
-        self._epoch = max(self._epoch, watched.revision)
-        self.viewed_at = max(self.viewed_at, sent)
-        if watched.events:
-            self._on_events(watched.events)
+        self._revision = max(self._revision, reply.revision)
+        self.viewed_at = max(self.viewed_at, sent_at)
+        if reply.events:
+            self._on_events(reply.events)
 
-    def _is_hopeless(self) -> bool:
-        """Whether watches go unanswered though the service has answered other calls lately: no outage, no cut."""
-        lately = self._effects.now() - self._store.answered_at < SERVED_WAITS * self._wait_s
-        return self._failures >= LIST_AFTER and lately
+    def _should_list_anew(self) -> bool:
+        """Whether watches go unanswered though the store has answered other requests lately, so it is reachable."""
+        is_available = self._effects.now() - self._store.answered_at < AVAILABLE_WAITS * self._wait_s
+        return self._failures >= LIST_AFTER and is_available
 
     def _retry(self, call: Callable[[], Any]) -> None:
         self._failures += 1
@@ -94,32 +98,32 @@
         self._effects.later(pause * (0.5 + self._effects.rng.random()), call)
 
     def _list(self) -> None:
-        sent = self._effects.now()
+        sent_at = self._effects.now()
 
-        def done(rows: list[wire.KeyValue] | None, revision: int) -> None:
-            if rows is None:
+        def done(items: list[wire.KeyValue] | None, revision: int) -> None:
+            if items is None:
                 self._retry(self._list)
                 return
             self._failures = 0
-            self._epoch = revision
-            self.viewed_at = sent
+            self._revision = revision
+            self.viewed_at = sent_at
             self.synced = True
-            self._on_rows(rows)
+            self._on_snapshot(items)
             self._watch()
 
         self._store.list(self._prefix, done)
 
     def _watch(self) -> None:
-        sent = self._effects.now()
+        sent_at = self._effects.now()
 
-        def done(kind: WatchKind, watched: wire.WatchReply | None) -> None:
-            if kind == "old":
+        def done(result: WatchResult) -> None:
+            if result.outcome is WatchOutcome.COMPACTED:
                 self._list()
                 return
-            if watched is None:
-                self._retry(self._list if self._is_hopeless() else self._watch)
+            if result.reply is None:
+                self._retry(self._list if self._should_list_anew() else self._watch)
                 return
-            self._advance(watched, sent)
+            self._apply(result.reply, sent_at)
             self._watch()
 
-        self._store.watch(self._prefix, self._epoch, self._wait_s, done)
+        self._store.watch(self._prefix, self._revision, self._wait_s, done)
--- a/tests/test_guards.py
+++ b/tests/test_guards.py
@@ -27,7 +27,7 @@
     whole = Commits._committed
 
     def guess(self, batch, outcome, epoch, failed):
-        whole(self, batch, Outcome.OK if outcome is Outcome.UNSURE else outcome, epoch, failed)
+        whole(self, batch, Outcome.COMMITTED if outcome is Outcome.UNKNOWN else outcome, epoch, failed)
 
     patch.setattr(Commits, "_committed", guess)
 
--- a/tests/test_job_records.py
+++ b/tests/test_job_records.py
@@ -9,7 +9,7 @@
 from tealhook.jobs.index import JobRecord, JobState
 from tealhook.jobs.job import Job
 from tealhook.jobs.records import JobRecords, ending
-from tealhook.state_store import CallPriority, Outcome
+from tealhook.state_store import CallPriority, Outcome, ReadOutcome, ReadResult
 from tealhook.wire import state as state_wire
 from tealhook.wire.common import dumps
 from tealhook.wire.state import KeyValue
@@ -87,8 +87,8 @@
             1.5,
         )
     ]
-    store.answer(Outcome.OK, 12, [])
-    assert told == [(Outcome.OK, [], 2)]
+    store.answer(Outcome.COMMITTED, 12, [])
+    assert told == [(Outcome.COMMITTED, [], 2)]
     assert [(job, record.status, version) for job, record, version in index.learned] == [
         ("a", JobState.CANCELLED, 12),
         ("b", JobState.CANCELLED, 12),
@@ -98,8 +98,8 @@
 @pytest.mark.parametrize(
     ("outcome", "failed", "uncertain"),
     [
-        (Outcome.UNSURE, [], ["a", "b"]),
-        (Outcome.CONFLICT, ["job/b"], ["b"]),
+        (Outcome.UNKNOWN, [], ["a", "b"]),
+        (Outcome.CONFLICTED, ["job/b"], ["b"]),
         (Outcome.REFUSED, [], []),
         (Outcome.REJECTED, [], []),
     ],
@@ -117,22 +117,27 @@
     record = JobRecord("team", JobState.DONE, at=7.5)
     records.read("a", lambda *what: told.append((*what, len(index.learned))), CallPriority.ADMIT, 0.5, 1.5)
     assert store.calls == [("job/a", CallPriority.ADMIT, 0.5, 1.5)]
-    store.answer("ok", KeyValue("job/a", ROW, 8))
-    assert told == [("ok", record, 8, 1)] and index.learned == [("a", record, 8)]
+    store.answer(ReadResult(ReadOutcome.FOUND, KeyValue("job/a", ROW, 8)))
+    assert told == [(ReadOutcome.FOUND, record, 8, 1)] and index.learned == [("a", record, 8)]
     records.fetch("a", lambda *what: told.append(what))
-    store.answer("ok", KeyValue("job/a", ROW, 9))
-    assert told[1:] == [("ok", record, 9)] and len(index.learned) == 1
+    store.answer(ReadResult(ReadOutcome.FOUND, KeyValue("job/a", ROW, 9)))
+    assert told[1:] == [(ReadOutcome.FOUND, record, 9)] and len(index.learned) == 1
 
 
 @pytest.mark.parametrize(
-    ("kind", "row"), [("absent", None), ("unknown", None), ("ok", KeyValue("job/a", {"st": ["no", "record"]}, 8))]
+    ("outcome", "item"),
+    [
+        (ReadOutcome.ABSENT, None),
+        (ReadOutcome.UNKNOWN, None),
+        (ReadOutcome.FOUND, KeyValue("job/a", {"st": ["no", "record"]}, 8)),
+    ],
 )
-def test_without_a_record_nothing_is_learned(kind, row):
+def test_without_a_record_nothing_is_learned(outcome, item):
     records, store, index = _records()
     told: list[tuple] = []
-    records.read("a", lambda kind, record, _version: told.append((kind, record)))
-    store.answer(kind, row)
-    assert told == [(kind, None)] and index.learned == []
+    records.read("a", lambda found, record, _version: told.append((found, record)))
+    store.answer(ReadResult(outcome, item))
+    assert told == [(outcome, None)] and index.learned == []
 
 
 def test_a_submission_is_laid_out_once(monkeypatch):
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -335,7 +335,7 @@
     """Bookkeeping without end, for so long: how many changes were sent."""
     sent = len(fx.calls)
     for _ in range(seconds * 50):
-        store.transact({}, [{"drop": "a"}], CallPriority.KEEP, lambda *_: None, wait=0.1)
+        store.transact({}, [{"drop": "a"}], CallPriority.BOOKKEEPING, lambda *_: None, wait=0.1)
         fx.run(fx.time + 0.02)
     return len(fx.calls) - sent
 
@@ -348,7 +348,7 @@
     _load(fx, store, 20)
     slowed = _load(fx, store, 20)
     assert 0 < slowed < 0.5 * usual
-    store.transact({}, [{"drop": "k"}], CallPriority.KEEP, lambda *_: None)
+    store.transact({}, [{"drop": "k"}], CallPriority.BOOKKEEPING, lambda *_: None)
     store.transact({}, [{"drop": "c"}], CallPriority.ADMIT, lambda *_: None)
     store.renew_lease(7, 1.0, lambda _kind: None)
     sent = len(fx.calls)
@@ -366,7 +366,7 @@
         (400, b'{"error":"value too large"}', Outcome.REJECTED),
         (429, b"{}", Outcome.REFUSED),
         (503, b"{}", Outcome.REFUSED),
-        (None, b"", Outcome.UNSURE),
+        (None, b"", Outcome.UNKNOWN),
     ],
 )
 def test_outcomes_of_a_transaction(status, body, expected):
--- a/tests/test_machine_types.py
+++ b/tests/test_machine_types.py
@@ -101,7 +101,7 @@
 
     def store_types(*_args: Any) -> None:
         def done(outcome: Outcome, _epoch: int, _failed: list[str]) -> None:
-            if outcome is Outcome.OK:
+            if outcome is Outcome.COMMITTED:
                 fleet._stored_types = {
                     (kind.name, kind.vcpus, kind.memory_gb, tuple(kind.zones)) for kind in fleet._types.values()
                 }
@@ -340,11 +340,11 @@
                 self.carry_out(when, apply)
             else:
                 self.late.append((when, apply))
-            done(Outcome.UNSURE, 0, [])
+            done(Outcome.UNKNOWN, 0, [])
         elif self.carry_out(when, apply):
-            done(Outcome.OK, self.epoch, [])
+            done(Outcome.COMMITTED, self.epoch, [])
         else:
-            done(Outcome.CONFLICT, 0, [])
+            done(Outcome.CONFLICTED, 0, [])
 
     def carry_out(self, when: dict, apply: list) -> bool:
         if any(self.rows.get(key, (None, 0))[1] != stamp for key, stamp in when.items()):
