--- a/tealhook/api.py
+++ b/tealhook/api.py
@@ -99,7 +99,7 @@
         fresh = [
             (at, peer)
             for peer, at in self._peers.served_at.items()
-            if now - at < self._workers.lease_s / 4 and self._peers.reachable(peer)
+            if now - at < self._workers.lease_s / 4 and self._peers.is_reachable(peer)
         ]
         return max(fresh)[1] if fresh else None
 
--- a/tealhook/controller.py
+++ b/tealhook/controller.py
@@ -5,8 +5,8 @@
 from tealhook.admission import Admission
 from tealhook.api import Api
 from tealhook.context import NodeContext, PolicyValues
-from tealhook.coordination import FLEET_KEY, Ownership, Versions, team_key
-from tealhook.coordination.balancing import PARTITION_PREFIX, TEAM_PREFIX
+from tealhook.coordination import FLEET_KEY, Ownership, OwnershipView, Versions, team_key
+from tealhook.coordination.ownership_keys import PARTITION_PREFIX, TEAM_PREFIX
 from tealhook.fleet import FleetManager
 from tealhook.gossip import GossipExchange, PeerStates
 from tealhook.jobs import JobIndex, JobState
@@ -42,9 +42,10 @@
             effects.rng.getrandbits(INCARNATION_BITS),
         )
         self.state_client = StateClient(context)
-        self.ownership = Ownership(context, self.state_client)
-        self.mesh = Mesh(context)
+        ownership_view = OwnershipView(context, self.state_client)
+        self.mesh = Mesh(context, ownership_view)
         peers = PeerStates(context, self.mesh)
+        self.ownership = Ownership(context, self.state_client, ownership_view, peers)
         self.job_index = JobIndex(context, self.state_client)
         self.partition_manager = PartitionManager(
             context,
@@ -90,21 +91,18 @@
             self.gossip, self.team_scheduler, self.partition_manager, self.fleet_manager, self.api.on_user
         )
         self.mesh.handler = handler.on_message
-        self.mesh.current_incarnation = self.ownership.incarnation_of
-        self.ownership.is_reachable = peers.reachable
-        self.ownership.is_unheard = self.partition_manager.is_unheard
-        self.ownership.listener = self._on_ownership_change
         self.job_index.listener = self._on_job_changed
         self.partition_manager.on_zone = self._on_zone
 
     def start(self) -> None:
         """Begin to read the state service, to claim ownership keys, and to gossip twice per heartbeat period."""
         self.job_index.start()
-        self.ownership.start()
+        self.ownership.start(self, self.partition_manager)
         self.versions.start()
         every(self.context.effects, self.context.workers.report_s / 2, self.gossip.send)
 
-    def _on_ownership_change(self, key: str, token: int | None) -> None:
+    def on_ownership_change(self, key: str, token: int | None) -> None:
+        """Tell the component that a key is of that this node owns it now, or with None no longer."""
         if key == FLEET_KEY:
             self.fleet_manager.on_ownership_change(token)
         elif key.startswith(PARTITION_PREFIX):
--- a/tealhook/coordination/__init__.py
+++ b/tealhook/coordination/__init__.py
@@ -1,7 +1,8 @@
 """Coordination of the controllers: leases, ownership of keys, fencing tokens and agreed versions."""
 
-from tealhook.coordination.balancing import FLEET_KEY, partition_key, team_key
 from tealhook.coordination.ownership import Ownership
+from tealhook.coordination.ownership_keys import FLEET_KEY, partition_key, team_key
+from tealhook.coordination.ownership_view import OwnershipView
 from tealhook.coordination.versions import Versions
 
-__all__ = ["FLEET_KEY", "Ownership", "Versions", "partition_key", "team_key"]
+__all__ = ["FLEET_KEY", "Ownership", "OwnershipView", "Versions", "partition_key", "team_key"]
--- /dev/null
+++ b/tealhook/coordination/ownership_view.py
@@ -0,0 +1,215 @@
+"""The watched view of ownership records: which node owns what, and which nodes are live."""
+
+from __future__ import annotations
+
+from collections.abc import Callable, Iterable
+from dataclasses import dataclass
+from typing import Any
+
+from tealhook.context import NodeContext
+from tealhook.coordination.lease import lease_ttl_s
+from tealhook.coordination.ownership_keys import (
+    FLEET_KEY,
+    NODE_PREFIX,
+    OWNERSHIP_PREFIX,
+    PARTITION_PREFIX,
+    TEAM_PREFIX,
+    node_key,
+    partition_key,
+    team_key,
+)
+from tealhook.coordination.stability import MembershipStability
+from tealhook.state_store import StateClient, Watcher
+from tealhook.wire.state import KeyValue, WatchEvent
+
+WATCHES_PER_WORKER_LEASE = 12  # a watch is held open for this part of the lease of workers
+
+
+@dataclass(frozen=True, slots=True)
+class OwnershipRecord:
+    """Who owns a key. Its revision is the fencing token: each claim gets a higher one."""
+
+    node: str
+    token: int
+    incarnation: str = ""
+    zone: str = ""
+
+    @classmethod
+    def parse(cls, value: Any, revision: int) -> OwnershipRecord:
+        """The record in a stored value; a malformed one names no node."""
+        fields = value if isinstance(value, dict) else {}
+        return cls(
+            node=str(fields.get("n", "")),
+            token=revision,
+            incarnation=str(fields.get("b", "")),
+            zone=str(fields.get("z", "")),
+        )
+
+
+def stored_value(node: str, incarnation: str, zone: str) -> dict[str, str]:
+    """The value that is stored for an ownership record."""
+    return {"n": node, "b": incarnation, "z": zone}
+
+
+class OwnershipView:
+    """Ownership records as last read from the state store, or learned from peers."""
+
+    def __init__(self, context: NodeContext, store: StateClient) -> None:
+        """The view is empty until `start`."""
+        self._effects = context.effects
+        self._node = context.node
+        self._incarnation = f"{context.incarnation:x}"
+        self._records: dict[str, OwnershipRecord] = {}
+        self._absent_since: dict[str, float] = {}  # key -> since when no node owns it
+        self._expected_keys: set[str] = {FLEET_KEY}  # each of them should have an owner
+        self._expected_keys.update(team_key(name) for name in context.settings.team_names)
+        self._expected_keys.update(partition_key(zone) for zone in context.settings.params.zones)
+        self._stability = MembershipStability(lease_ttl_s(context), context.effects.now())
+        self._on_change: Callable[[], None] | None = None
+        self._watcher = Watcher(
+            context.effects,
+            store,
+            OWNERSHIP_PREFIX,
+            context.workers.lease_s / WATCHES_PER_WORKER_LEASE,
+            self._replace,
+            self._apply_events,
+        )
+
+    def start(self, on_change: Callable[[], None]) -> None:
+        """Read the records and follow their changes; `on_change` is called after each."""
+        self._on_change = on_change
+        self._watcher.start()
+
+    # -- lookups
+
+    @property
+    def is_synced(self) -> bool:
+        """Whether all records have been read once."""
+        return self._watcher.synced
+
+    @property
+    def viewed_at(self) -> float:
+        """The view shows at least all that was committed at this time."""
+        return self._watcher.viewed_at
+
+    def owner(self, key: str) -> str | None:
+        """The node that owns a key as far as known."""
+        record = self._records.get(key)
+        return record.node if record else None
+
+    def token(self, key: str) -> int | None:
+        """The owner's fencing token as far as known, whoever the owner is."""
+        record = self._records.get(key)
+        return record.token if record else None
+
+    def has_record(self, key: str) -> bool:
+        """Whether a key has an owner, or a malformed record."""
+        return key in self._records
+
+    def live_nodes(self) -> dict[str, str]:
+        """Registered nodes and their zones."""
+        prefix = len(NODE_PREFIX)
+        return {key[prefix:]: record.zone for key, record in self._records.items() if key.startswith(NODE_PREFIX)}
+
+    def incarnation_of(self, node: str) -> int | None:
+        """Which process is registered under a node's name, if one is."""
+        record = self._records.get(node_key(node))
+        try:
+            return int(record.incarnation, 16) if record is not None else None
+        except ValueError:
+            return None
+
+    @property
+    def is_registered(self) -> bool:
+        """Whether this very process is registered under its node's name."""
+        record = self._records.get(node_key(self._node))
+        return record is not None and record.incarnation == self._incarnation
+
+    def tokens_of_this_process(self) -> dict[str, int]:
+        """Keys that this very process owns, with their fencing tokens."""
+        return {
+            key: record.token
+            for key, record in self._records.items()
+            if record.node == self._node and record.incarnation == self._incarnation and not key.startswith(NODE_PREFIX)
+        }
+
+    def partition_owners(self) -> list[str]:
+        """The owner of each partition that has one."""
+        return [record.node for key, record in self._records.items() if key.startswith(PARTITION_PREFIX)]
+
+    def team_owners(self) -> list[str]:
+        """The owner of each team that has one."""
+        return [record.node for key, record in self._records.items() if key.startswith(TEAM_PREFIX)]
+
+    def keys(self) -> set[str]:
+        """Every key that has, or should have, an owner."""
+        return self._expected_keys | {key for key in self._records if not key.startswith(NODE_PREFIX)}
+
+    def zones(self) -> list[str]:
+        """Every zone that has, or should have, a partition."""
+        keys = self._expected_keys | self._records.keys()
+        return sorted(key[len(PARTITION_PREFIX) :] for key in keys if key.startswith(PARTITION_PREFIX))
+
+    def absent_s(self, key: str, now: float) -> float:
+        """For how long a key has had no owner."""
+        return now - self._absent_since.get(key, now)
+
+    def is_stable(self, now: float) -> bool:
+        """Whether the set of live nodes has stayed the same for long enough that keys may change owners for balance."""
+        return self._stability.is_stable(now)
+
+    # -- changes
+
+    def add_key(self, key: str) -> None:
+        """Add a key that should have an owner."""
+        self._expected_keys.add(key)
+
+    def learn_tokens(self, node: str, tokens: dict[str, int]) -> None:
+        """Learn from a peer which keys it owns; only a higher fencing token than the known one counts."""
+        changed = False
+        for key, token in tokens.items():
+            known = self._records.get(key)
+            if known is not None and known.token < token:
+                self._records[key] = OwnershipRecord(node, token)
+                changed = True
+        if changed:
+            self._changed()
+
+    def record_claims(self, keys: Iterable[str], claim: OwnershipRecord) -> None:
+        """Record a committed claim of this node, unless the watch has shown something newer since."""
+        for key in keys:
+            known = self._records.get(key)
+            if known is None or known.token < claim.token:
+                self._records[key] = claim
+        self._changed()
+
+    def _replace(self, items: list[KeyValue]) -> None:
+        self._records = {item.key: OwnershipRecord.parse(item.value, item.mod_revision) for item in items}
+        self._changed()
+
+    def _apply_events(self, events: list[WatchEvent]) -> None:
+        before = self.live_nodes()
+        for event in events:
+            key = event.key
+            known = self._records.get(key)
+            if known is not None and event.mod_revision < known.token:
+                continue  # older than what a claim of ours or a peer has told
+            if event.put_key:
+                self._records[key] = OwnershipRecord.parse(event.value, event.mod_revision)
+            else:
+                self._records.pop(key, None)
+        self._stability.record_change(before, self.live_nodes(), self._effects.now())
+        self._changed()
+
+    def _changed(self) -> None:
+        if self._on_change is not None:
+            self._on_change()
+        self._track_absent_keys()
+
+    def _track_absent_keys(self) -> None:
+        now = self._effects.now()
+        for key in self._expected_keys | set(self._records):
+            if key in self._records:
+                self._absent_since.pop(key, None)
+            else:
+                self._absent_since.setdefault(key, now)
--- a/tealhook/gossip.py
+++ b/tealhook/gossip.py
@@ -26,7 +26,7 @@
         self._report_s = context.workers.report_s
         self.served_at: dict[str, float] = {}  # peer -> when the state service last served it
 
-    def reachable(self, node: str) -> bool:
+    def is_reachable(self, node: str) -> bool:
         """Whether a message of the peer came lately. Only a hint for choosing a peer: silence proves nothing."""
         heard = self._mesh.heard.get(node, -1e9)
         return node == self._mesh.node or self._effects.now() - heard < 2 * self._report_s
--- a/tealhook/mesh/mesh.py
+++ b/tealhook/mesh/mesh.py
@@ -4,7 +4,7 @@
 
 import logging
 from collections.abc import Callable
-from typing import Any
+from typing import Any, Protocol
 
 import msgspec
 
@@ -20,19 +20,27 @@
 Handler = Callable[[str, wire.Body, Reply], None]  # of sender, message and a function to reply with
 
 
+class Registrations(Protocol):
+    """Which process runs under each node's name."""
+
+    def incarnation_of(self, node: str) -> int | None:
+        """The incarnation of the registered process; None when none is known."""
+        ...
+
+
 class Mesh:
     """`handler(sender, body, reply)` serves requests; `reply` may be called later, or never."""
 
-    def __init__(self, context: NodeContext) -> None:
+    def __init__(self, context: NodeContext, registrations: Registrations) -> None:
         """Frames are accepted from the peers that the settings name."""
         self._effects = context.effects
         self.node = context.node
         self.peers = list(context.settings.peers)
         self._incarnation = context.incarnation
+        self._registrations = registrations
         self._number = 0
         self._pending: dict[int, Answered] = {}
         self._numbers: dict[tuple[str, int], int] = {}  # (sender, incarnation) -> number of its newest gossip
-        self.current_incarnation: Callable[[str], int | None] = lambda _peer: None  # as registered, if it is
         self.heard: dict[str, float] = {}
         self.handler: Handler = lambda _sender, _body, _reply: None
 
@@ -106,7 +114,7 @@
         This guards against delayed copies from before one or several restarts: they must not be taken for current, and
         their numbers must not make later gossip look old.
         """
-        current = self.current_incarnation(envelope.sender)
+        current = self._registrations.incarnation_of(envelope.sender)
         if current is not None and current != envelope.incarnation:
             return False
         key = (envelope.sender, envelope.incarnation)
--- a/tests/test_flapping.py
+++ b/tests/test_flapping.py
@@ -5,7 +5,7 @@
 import pytest
 
 from tealhook.coordination import stability
-from tealhook.coordination.stability import Stability
+from tealhook.coordination.stability import MembershipStability
 from tests.users import ALIKE
 from tests.world import World
 
@@ -14,28 +14,28 @@
 
 def test_the_pause_doubles_with_each_loss_of_the_same_node_and_is_forgotten():
     nodes = {"a", "b", "c"}
-    stable = Stability(LEASE_S, 0.0)
+    stable = MembershipStability(LEASE_S, 0.0)
     pauses = []
     for start in (10.0, 40.0, 70.0, 100.0):
         stable.record_change(nodes, nodes - {"a"}, start)
         stable.record_change(nodes - {"a"}, nodes, start + 1.0)
         waited = 0.0
-        while not stable.is_settled(start + 1.0 + waited):
+        while not stable.is_stable(start + 1.0 + waited):
             waited += 0.5
         pauses.append(waited)
     assert pauses == [6.5, 12.5, 24.5, 24.5]
     stable.record_change(nodes, nodes - {"a"}, 400.0)
-    assert not stable.is_settled(406.0) and stable.is_settled(406.5)
+    assert not stable.is_stable(406.0) and stable.is_stable(406.5)
 
 
 def test_several_nodes_lost_once_each_are_no_flapping():
     """As when all are restarted one after the other."""
     nodes = {"a", "b", "c"}
-    stable = Stability(LEASE_S, 0.0)
+    stable = MembershipStability(LEASE_S, 0.0)
     for position, node in enumerate(sorted(nodes)):
         stable.record_change(nodes, nodes - {node}, 10.0 * position)
         stable.record_change(nodes - {node}, nodes, 10.0 * position + 1.0)
-    assert stable.is_settled(21.0 + 6.5)
+    assert stable.is_stable(21.0 + 6.5)
 
 
 def _changes_of_owner(seed: int) -> int:
@@ -60,5 +60,5 @@
 @pytest.mark.parametrize("seed", range(81, 84))
 def test_what_a_flapping_node_owned_stays_where_it_went(seed, monkeypatch):
     calm = _changes_of_owner(seed)
-    monkeypatch.setattr(stability, "MOST_DOUBLINGS", 0)
+    monkeypatch.setattr(stability, "MAX_DOUBLINGS", 0)
     assert calm < 0.75 * _changes_of_owner(seed)
--- a/tests/test_hearing.py
+++ b/tests/test_hearing.py
@@ -3,7 +3,7 @@
 import pytest
 
 from tealhook.controller import Controller
-from tealhook.coordination import Ownership
+from tealhook.coordination.claims import KeyClaims
 from tealhook.partitions.manager import PartitionManager
 from tealhook.partitions.partition import Partition
 from tests.users import PLAIN
@@ -137,8 +137,8 @@
 
 @pytest.mark.parametrize("broken", [False, True])
 def test_work_goes_on_while_controllers_refuse_one_another(broken, monkeypatch):
-    if broken:  # a node that reaches no part keeps its homes
-        monkeypatch.setattr(Ownership, "_is_stranded", lambda self, now: False)
+    if broken:  # a node that reaches no partition keeps its teams
+        monkeypatch.setattr(KeyClaims, "_reaches_no_partition", lambda self, now: False)
     world = _busy(25)
     world.network.cut_peers()
     world.run(12.0)  # time for a home to move to a node that reaches a part
--- a/tests/test_mesh.py
+++ b/tests/test_mesh.py
@@ -5,11 +5,22 @@
 from tests.simulation.context import make_context
 
 
+class _Registrations:
+    """Names the same process for every node, or none."""
+
+    def __init__(self) -> None:
+        self.incarnation: int | None = None
+
+    def incarnation_of(self, _node: str) -> int | None:
+        return self.incarnation
+
+
 def test_gossip_of_a_process_between_does_not_shut_out_the_present_one():
     """Guards against a fleet that never heard a restarted peer again: gossip of a process that had lived and died
     behind a cut came late, was taken for the newest, and the present process for an old one."""
     heard = []
-    mesh = Mesh(make_context(type("Clock", (), {"now": staticmethod(lambda: 0.0)})()))
+    registrations = _Registrations()
+    mesh = Mesh(make_context(type("Clock", (), {"now": staticmethod(lambda: 0.0)})()), registrations)
     mesh.handler = lambda sender, body, reply: heard.append(body.state_age_s)
 
     def gossip(boot: int, number: int) -> None:
@@ -17,7 +28,7 @@
         mesh.on_frame(wire.envelope_encoder.encode(wire.Envelope("n1", boot, number, 0, body)))
 
     gossip(1, 5)
-    mesh.current_incarnation = lambda peer: 3
+    registrations.incarnation = 3
     gossip(3, 1)
     gossip(2, 9)  # late, from between
     gossip(1, 6)
--- a/tests/test_ownership.py
+++ b/tests/test_ownership.py
@@ -3,22 +3,22 @@
 from itertools import combinations
 
 from tealhook.coordination import FLEET_KEY, partition_key, team_key
-from tealhook.coordination.ownership import share_out
+from tealhook.coordination.balancing import plan_owners
 
 
 def test_shares_of_each_kind_differ_by_one_at_most_whoever_lives():
     """Guards against one node with half of the machines while another had none: up to the rounded-up share
-    of each kind was taken, so that four parts fell on three nodes as two, two and none."""
+    of each kind was taken, so that four partitions fell on three nodes as two, two and none."""
     nodes = {f"n{i}": f"z{i % 2}" for i in range(5)}
-    for parts in range(1, 12):
+    for partitions in range(1, 12):
         keys = [
             FLEET_KEY,
-            *(partition_key(f"z{i}") for i in range(parts)),
-            *(team_key(f"team-{i}") for i in range(2 * parts)),
+            *(partition_key(f"z{i}") for i in range(partitions)),
+            *(team_key(f"team-{i}") for i in range(2 * partitions)),
         ]
         for count in range(1, 6):
             for live in combinations(nodes, count):
-                plan = share_out(keys, {node: nodes[node] for node in live})
+                plan = plan_owners(keys, {node: nodes[node] for node in live})
                 assert plan.keys() == set(keys)
                 for prefix in ("own/part/", "own/home/"):
                     shares = [sum(k.startswith(prefix) and n == node for k, n in plan.items()) for node in live]
