--- a/tealhook/admission/admission.py
+++ b/tealhook/admission/admission.py
@@ -16,7 +16,7 @@
 from tealhook.coordination import Versions
 from tealhook.jobs.index import JobIndex, JobRecord, JobState, job_key
 from tealhook.jobs.records import JobRecords, OnRecord
-from tealhook.state_store import CallPriority, Outcome, ReadIndex, StateClient
+from tealhook.state_store import CallPriority, Outcome, ReadIndex, StateClient, TransactionResult
 from tealhook.wire import state as state_wire
 from tealhook.wire.cloud import MachineType
 from tealhook.wire.common import dumps, error_body
@@ -180,11 +180,11 @@
     def _accept(self, submission: Submission, reply: Reply) -> None:
         job = submission.job
 
-        def done(outcome: Outcome, revision: int, _failed: list[str]) -> None:
-            if outcome is Outcome.COMMITTED:
-                self._job_index.apply_record(job, submission.record, revision)
+        def done(result: TransactionResult) -> None:
+            if result.outcome is Outcome.COMMITTED:
+                self._job_index.apply_record(job, submission.record, result.revision)
                 self._reply_status(201, job, JobState.ACTIVE, reply)
-            elif outcome in (Outcome.REFUSED, Outcome.REJECTED):
+            elif result.outcome in (Outcome.REFUSED, Outcome.REJECTED):
                 self._reply_retry(reply, "state service unavailable")
             else:
                 # Known already, or nobody knows: read, never guess.
--- a/tealhook/coordination/claims.py
+++ b/tealhook/coordination/claims.py
@@ -16,7 +16,7 @@
 from tealhook.coordination.owned_keys import OwnedKeys
 from tealhook.coordination.ownership_keys import FLEET_KEY, PARTITION_PREFIX, TEAM_PREFIX, node_key
 from tealhook.coordination.ownership_view import OwnershipRecord, OwnershipView, stored_value
-from tealhook.state_store import CallPriority, Outcome, StateClient
+from tealhook.state_store import CallPriority, Outcome, StateClient, TransactionResult
 from tealhook.state_store.request_queue import NEVER
 from tealhook.wire import state as wire
 
@@ -118,16 +118,16 @@
         if self._node_key not in conditions and registration is not None:
             conditions[self._node_key] = registration
 
-        def done(outcome: Outcome, revision: int, failed_keys: list[str]) -> None:
+        def done(result: TransactionResult) -> None:
             self._is_writing = False
-            if outcome is Outcome.COMMITTED:
+            if result.outcome is Outcome.COMMITTED:
                 self._max_claims = min(MAX_CLAIMS, 2 * self._max_claims)
-                self._view.record_claims(keys, OwnershipRecord.parse(value, revision))
-            elif outcome is Outcome.REJECTED:
+                self._view.record_claims(keys, OwnershipRecord.parse(value, result.revision))
+            elif result.outcome is Outcome.REJECTED:
                 self._max_claims = max(1, len(keys) // 2)
                 self._claim_not_before = self._effects.now() + self._lease_ttl_s / CLAIM_RETRIES_PER_LEASE
-            elif outcome is Outcome.CONFLICTED:
-                remaining = [key for key in keys if key not in failed_keys]
+            elif result.outcome is Outcome.CONFLICTED:
+                remaining = [key for key in keys if key not in result.failed_keys]
                 if remaining and len(remaining) < len(keys):
                     self._claim(remaining)
             # Otherwise the watch shows what became of it.
@@ -194,8 +194,8 @@
     def _release(self, key: str, token: int) -> None:
         # Not at the lowest priority: on a node that has taken over everything, assignments use up the rate limits, so
         # it would never hand anything over.
-        self._store.transact({key: token}, [wire.drop(key)], CallPriority.ADMIT, _ignore_outcome)
+        self._store.transact({key: token}, [wire.drop(key)], CallPriority.ADMIT, _ignore_result)
 
 
-def _ignore_outcome(_outcome: Outcome, _revision: int, _failed_keys: list[str]) -> None:
+def _ignore_result(_result: TransactionResult) -> None:
     """The watch shows what became of it, and the next review tries again."""
--- a/tealhook/fleet/machine_types.py
+++ b/tealhook/fleet/machine_types.py
@@ -29,7 +29,7 @@
 
 from tealhook.coordination import FLEET_KEY
 from tealhook.scheduling.commits import TXN_BYTES
-from tealhook.state_store import CallPriority, Outcome, StateClient
+from tealhook.state_store import CallPriority, Outcome, StateClient, TransactionResult
 from tealhook.wire import state as state_wire
 from tealhook.wire.cloud import MachineType
 from tealhook.wire.common import dumps
@@ -251,12 +251,12 @@
         group, rest = first_transaction(changes, self._store.max_operations)
         when = {FLEET_KEY: token, TYPES_KEY: first_stamp} | {change.key: change.stamp for change in group}
 
-        def answered(outcome: Outcome, revision: int, _failed: list[str]) -> None:
+        def answered(result: TransactionResult) -> None:
             replaced = any(change.key == TYPES_KEY for change in group)
-            stamp = revision if replaced else first_stamp
-            if outcome is Outcome.COMMITTED and rest:
+            stamp = result.revision if replaced else first_stamp
+            if result.outcome is Outcome.COMMITTED and rest:
                 self._carry_out(token, stamp, rest, done)
             else:
-                done(outcome is Outcome.COMMITTED, stamp)
+                done(result.outcome is Outcome.COMMITTED, stamp)
 
         self._store.transact(when, [change.operation for change in group], CallPriority.ADMIT, answered)
--- a/tealhook/jobs/records.py
+++ b/tealhook/jobs/records.py
@@ -14,7 +14,7 @@
 
 from tealhook.context import NodeContext
 from tealhook.jobs.index import JobIndex, JobRecord, job_key, parse_record
-from tealhook.state_store import CallPriority, Outcome, ReadResult, StateClient
+from tealhook.state_store import CallPriority, Outcome, ReadResult, StateClient, TransactionResult
 from tealhook.state_store.client import CALL_TIMEOUT_S
 from tealhook.wire import state as state_wire
 
@@ -97,14 +97,15 @@
             conditions |= condition
             changes.append(change)
 
-        def written(outcome: Outcome, revision: int, failed: list[str]) -> None:
+        def written(result: TransactionResult) -> None:
+            outcome = result.outcome
             if outcome is Outcome.COMMITTED:
                 for job, (record, _version) in ends.items():
-                    self._job_index.apply_record(job, record, revision)
+                    self._job_index.apply_record(job, record, result.revision)
                 done(outcome, [])
             elif outcome is Outcome.UNKNOWN:
                 done(outcome, list(ends))
             else:
-                done(outcome, [job for job in ends if job_key(job) in failed])
+                done(outcome, [job for job in ends if job_key(job) in result.failed_keys])
 
         self._store.transact(conditions, changes, CallPriority.ADMIT, written, wait, timeout)
--- a/tealhook/scheduling/commits.py
+++ b/tealhook/scheduling/commits.py
@@ -153,7 +153,10 @@
             write.job.write_state = WriteState.PENDING
             write.job.dirty_chunks -= write.written_chunks
         self._store.transact(
-            when, apply, priority, lambda outcome, revision, failed: self._committed(batch, outcome, revision, failed)
+            when,
+            apply,
+            priority,
+            lambda result: self._committed(batch, result.outcome, result.revision, result.failed_keys),
         )
         if left:
             self.schedule_commit()
--- a/tealhook/state_store/__init__.py
+++ b/tealhook/state_store/__init__.py
@@ -3,7 +3,16 @@
 from tealhook.state_store.client import StateClient
 from tealhook.state_store.read_index import ReadIndex
 from tealhook.state_store.request_queue import CallPriority
-from tealhook.state_store.results import Outcome, ReadOutcome, ReadResult
+from tealhook.state_store.results import Outcome, ReadOutcome, ReadResult, TransactionResult
 from tealhook.state_store.watcher import Watcher
 
-__all__ = ["CallPriority", "Outcome", "ReadIndex", "ReadOutcome", "ReadResult", "StateClient", "Watcher"]
+__all__ = [
+    "CallPriority",
+    "Outcome",
+    "ReadIndex",
+    "ReadOutcome",
+    "ReadResult",
+    "StateClient",
+    "TransactionResult",
+    "Watcher",
+]
--- a/tealhook/state_store/client.py
+++ b/tealhook/state_store/client.py
@@ -23,6 +23,7 @@
     ReadOutcome,
     ReadResult,
     RenewalOutcome,
+    TransactionResult,
     WatchOutcome,
     WatchResult,
 )
@@ -47,7 +48,7 @@
 OnRead = Callable[[ReadResult], Any]
 OnList = Callable[[list[wire.KeyValue] | None, int], Any]  # of the key-values and the revision; (None, 0): no answer
 OnWatch = Callable[[WatchResult], Any]
-OnTransaction = Callable[[Outcome, int, list[str]], Any]  # of the revision if committed, and of the keys that conflict
+OnTransaction = Callable[[TransactionResult], Any]
 
 
 class StateClient(RequestQueue):
@@ -160,7 +161,7 @@
         """Compare and swap: execute all operations, or none where a condition fails."""
 
         def answer(status: int | None, body: bytes) -> None:
-            done(*_parse_transaction(status, body))
+            done(_parse_transaction(status, body))
 
         body = wire.encode_transaction(conditions, operations)
         self._submit(priority, StateRequest("POST", "/txn", body, max(1, len(operations)), wait, timeout, answer))
@@ -219,19 +220,20 @@
     return WatchResult(WatchOutcome.COMPACTED if status == GONE else WatchOutcome.UNKNOWN)
 
 
-def _parse_transaction(status: int | None, body: bytes) -> tuple[Outcome, int, list[str]]:
+def _parse_transaction(status: int | None, body: bytes) -> TransactionResult:
     try:
         if status == OK:
-            return Outcome.COMMITTED, wire.committed_decoder.decode(body).revision, []
+            return TransactionResult(Outcome.COMMITTED, revision=wire.committed_decoder.decode(body).revision)
         if status == CONFLICT:
-            return Outcome.CONFLICTED, 0, wire.conflict_decoder.decode(body).failed_keys
+            return TransactionResult(Outcome.CONFLICTED, failed_keys=wire.conflict_decoder.decode(body).failed_keys)
     except msgspec.DecodeError as exc:
         log.error("state store: malformed answer to a transaction: %s", exc)
-        return Outcome.UNKNOWN, 0, []
+        return TransactionResult(Outcome.UNKNOWN)
     if status == BAD_REQUEST:
-        return _parse_bad_request(body), 0, []
+        return TransactionResult(_parse_bad_request(body))
     # 503 and 429 say that it was not executed; no answer, and any other status, say nothing.
-    return Outcome.REFUSED if status in (TOO_MANY_REQUESTS, UNAVAILABLE) else Outcome.UNKNOWN, 0, []
+    is_refused = status in (TOO_MANY_REQUESTS, UNAVAILABLE)
+    return TransactionResult(Outcome.REFUSED if is_refused else Outcome.UNKNOWN)
 
 
 def _parse_lease(status: int | None, body: bytes) -> int | None:
--- a/tealhook/state_store/results.py
+++ b/tealhook/state_store/results.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 import enum
-from dataclasses import dataclass
+from dataclasses import dataclass, field
 
 from tealhook.wire.state import KeyValue, WatchReply
 
@@ -18,6 +18,15 @@
     UNKNOWN = "unknown"  # may have been executed, or may yet be: read the keys, never guess
 
 
+@dataclass(frozen=True, slots=True)
+class TransactionResult:
+    """Answer to a transaction: all of its operations were executed, or none."""
+
+    outcome: Outcome
+    revision: int = 0  # of the transaction, if it was committed
+    failed_keys: list[str] = field(default_factory=list)  # whose conditions failed, if it conflicted
+
+
 class ReadOutcome(enum.StrEnum):
     """Result of reading one key."""
 
--- a/tests/test_job_records.py
+++ b/tests/test_job_records.py
@@ -9,7 +9,7 @@
 from tealhook.jobs.index import JobRecord, JobState
 from tealhook.jobs.job import Job
 from tealhook.jobs.records import JobRecords, ending
-from tealhook.state_store import CallPriority, Outcome, ReadOutcome, ReadResult
+from tealhook.state_store import CallPriority, Outcome, ReadOutcome, ReadResult, TransactionResult
 from tealhook.wire import state as state_wire
 from tealhook.wire.common import dumps
 from tealhook.wire.state import KeyValue
@@ -87,7 +87,7 @@
             1.5,
         )
     ]
-    store.answer(Outcome.COMMITTED, 12, [])
+    store.answer(TransactionResult(Outcome.COMMITTED, revision=12))
     assert told == [(Outcome.COMMITTED, [], 2)]
     assert [(job, record.status, version) for job, record, version in index.learned] == [
         ("a", JobState.CANCELLED, 12),
@@ -107,7 +107,7 @@
 def test_what_is_uncertain_after_an_end_has_to_be_read_and_nothing_is_learned(outcome, failed, uncertain):
     """Guards against telling that a job is cancelled which is not, or the other way round."""
     store, index, told = _end()
-    store.answer(outcome, 0, failed)
+    store.answer(TransactionResult(outcome, failed_keys=failed))
     assert told == [(outcome, uncertain, 0)] and index.learned == []
 
 
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -373,5 +373,5 @@
     fx, store = _client(None)
     fx.state = lambda method, target, sent, timeout, answer: answer(status, body)
     seen = []
-    store.transact({}, [{"drop": "a"}], CallPriority.RENEW, lambda outcome, *_: seen.append(outcome))
+    store.transact({}, [{"drop": "a"}], CallPriority.RENEW, lambda result: seen.append(result.outcome))
     assert seen == [expected]
--- a/tests/test_machine_types.py
+++ b/tests/test_machine_types.py
@@ -26,7 +26,7 @@
     plan_changes,
     split_types,
 )
-from tealhook.state_store import CallPriority, Outcome
+from tealhook.state_store import CallPriority, Outcome, TransactionResult
 from tealhook.wire import state as state_wire
 from tealhook.wire.cloud import MachineType, MachineTypes
 from tealhook.wire.common import dumps
@@ -100,8 +100,8 @@
     fleet = world.nodes[name].fleet_manager
 
     def store_types(*_args: Any) -> None:
-        def done(outcome: Outcome, _epoch: int, _failed: list[str]) -> None:
-            if outcome is Outcome.COMMITTED:
+        def done(result: TransactionResult) -> None:
+            if result.outcome is Outcome.COMMITTED:
                 fleet._stored_types = {
                     (kind.name, kind.vcpus, kind.memory_gb, tuple(kind.zones)) for kind in fleet._types.values()
                 }
@@ -340,11 +340,11 @@
                 self.carry_out(when, apply)
             else:
                 self.late.append((when, apply))
-            done(Outcome.UNKNOWN, 0, [])
+            done(TransactionResult(Outcome.UNKNOWN))
         elif self.carry_out(when, apply):
-            done(Outcome.COMMITTED, self.epoch, [])
+            done(TransactionResult(Outcome.COMMITTED, revision=self.epoch))
         else:
-            done(Outcome.CONFLICTED, 0, [])
+            done(TransactionResult(Outcome.CONFLICTED))
 
     def carry_out(self, when: dict, apply: list) -> bool:
         if any(self.rows.get(key, (None, 0))[1] != stamp for key, stamp in when.items()):
