--- a/tealhook/admission/admission.py
+++ b/tealhook/admission/admission.py
@@ -16,7 +16,7 @@
 from tealhook.coordination import Versions
 from tealhook.jobs.index import JobIndex, JobRecord, JobState, job_key
 from tealhook.jobs.records import JobRecords, OnRecord
-from tealhook.state_store import CallPriority, Outcome, ReadIndex, StateClient, TransactionResult
+from tealhook.state_store import CallPriority, Outcome, ReadIndex, ReadOutcome, StateClient, TransactionResult
 from tealhook.wire import state as state_wire
 from tealhook.wire.cloud import MachineType
 from tealhook.wire.common import dumps, error_body
@@ -155,22 +155,25 @@
             self._accept(submission, reply)
             return
 
-        def looked_up(found: list[str]) -> None:
-            if "absent" in found:
+        def looked_up(found: list[ReadOutcome]) -> None:
+            if ReadOutcome.ABSENT in found:
                 self._answer_known(submission.job, reply, (422, "waits_on: names a job that was never accepted"))
-            elif found.count("known") < len(found):
+            elif ReadOutcome.UNKNOWN in found:
                 self._reply_retry(reply, "not decided yet")
             else:
                 self._accept_after_names(submission, reply, read)
 
         self._read_names(unknown, looked_up)
 
-    def _read_names(self, names: list[str], then: Callable[[list[str]], None]) -> None:
-        """Read the records of jobs that a job waits for; `then` is told of each: known, absent or unknown."""
-        found: list[str] = []
+    def _read_names(self, names: list[str], then: Callable[[list[ReadOutcome]], None]) -> None:
+        """Read the records of jobs that a job waits for; `then` is told of each."""
+        found: list[ReadOutcome] = []
 
-        def read(name: str, kind: str, record: JobRecord | None, _version: int) -> None:
-            found.append("known" if self._newest(name, kind, record) is not None else kind)
+        def read(name: str, kind: ReadOutcome, record: JobRecord | None, _version: int) -> None:
+            if self._newest(name, kind, record) is not None:
+                found.append(ReadOutcome.FOUND)
+            else:  # a record that can't be read decides nothing
+                found.append(ReadOutcome.ABSENT if kind is ReadOutcome.ABSENT else ReadOutcome.UNKNOWN)
             if len(found) == len(names):
                 then(found)
 
@@ -202,11 +205,11 @@
     def _answer_known(self, job: str, reply: Reply, refusal: tuple[int, str] | None) -> None:
         """200 when the record exists; `refusal`, status and reason, when it surely does not; else come back later."""
 
-        def read(kind: str, record: JobRecord | None, _version: int) -> None:
+        def read(kind: ReadOutcome, record: JobRecord | None, _version: int) -> None:
             status = self._newest(job, kind, record)
             if status is not None:
                 self._reply_status(200, job, status, reply)
-            elif kind == "absent" and refusal is not None:
+            elif kind is ReadOutcome.ABSENT and refusal is not None:
                 reply(refusal[0], error_body(refusal[1]))
             else:
                 self._reply_retry(reply, "not decided yet")
@@ -222,11 +225,11 @@
 
         def refreshed(fresh: bool) -> None:
             if not fresh:
-                done("unknown", None, 0)
+                done(ReadOutcome.UNKNOWN, None, 0)
             elif self._job_index.status(job) is not None:
-                done("ok", None, 0)
+                done(ReadOutcome.FOUND, None, 0)
             elif self._job_index.is_complete:
-                done("absent", None, 0)
+                done(ReadOutcome.ABSENT, None, 0)
             else:
                 self._read_alone(job, done)
 
@@ -273,24 +276,24 @@
             reply(200, self._status_body(job, ended[0]))
             return
 
-        def read(kind: str, record: JobRecord | None, _version: int) -> None:
+        def read(kind: ReadOutcome, record: JobRecord | None, _version: int) -> None:
             status = self._newest(job, kind, record)
             if status is not None:
                 self._reply_status(200, job, status, reply)
-            elif kind == "absent":
+            elif kind is ReadOutcome.ABSENT:
                 reply(404, error_body("no such job"))
             else:
                 self._reply_retry(reply, "state service unavailable")
 
         self._read(job, read)
 
-    def _newest(self, job: str, kind: str, record: JobRecord | None) -> str | None:
+    def _newest(self, job: str, kind: ReadOutcome, record: JobRecord | None) -> str | None:
         """The status by a read, or by what has been learned while its answer was on the way: that is newer.
 
         A user who was told meanwhile by another node that the job is accepted or over must not hear otherwise here.
         Without a read nothing is known: what stands in memory may be old.
         """
-        if kind == "unknown":
+        if kind is ReadOutcome.UNKNOWN:
             return None
         known = self._job_index.status(job)
         return known if known is not None else record.status if record is not None else None
@@ -309,13 +312,13 @@
         if asked and self._refused_for_load(CallPriority.ADMIT, reply):
             return
 
-        def read(kind: str, record: JobRecord | None, version: int) -> None:
+        def read(kind: ReadOutcome, record: JobRecord | None, version: int) -> None:
             if record is not None and record.status != JobState.ACTIVE:
                 self._job_index.apply_record(job, record, version)
                 reply(200, dumps(JobStatus(job, record.status)))
             elif record is not None:
                 self._cancel(job, record.team, version, reply, tries)
-            elif kind == "absent" and self._job_index.status(job) is None:
+            elif kind is ReadOutcome.ABSENT and self._job_index.status(job) is None:
                 reply(404, error_body("no such job"))
             else:
                 self._reply_retry(reply, "state service unavailable")
--- a/tealhook/jobs/records.py
+++ b/tealhook/jobs/records.py
@@ -14,14 +14,14 @@
 
 from tealhook.context import NodeContext
 from tealhook.jobs.index import JobIndex, JobRecord, job_key, parse_record
-from tealhook.state_store import CallPriority, Outcome, ReadResult, StateClient, TransactionResult
+from tealhook.state_store import CallPriority, Outcome, ReadOutcome, ReadResult, StateClient, TransactionResult
 from tealhook.state_store.client import CALL_TIMEOUT_S
 from tealhook.wire import state as state_wire
 
 MOST_WAIT_S = 1.0  # for tokens
 
-# Told of a read: "ok", "absent" or "unknown", the record (None also where it can't be read), and its version.
-OnRecord = Callable[[str, JobRecord | None, int], Any]
+# Told of a read: its outcome, the record (None also where it is malformed), and its revision.
+OnRecord = Callable[[ReadOutcome, JobRecord | None, int], Any]
 
 
 def ending(job: str, record: JobRecord, version: int) -> tuple[dict[str, int], state_wire.Put]:
@@ -71,7 +71,7 @@
     ) -> None:
         """Read a job's record into the index of jobs, then tell `done` of it."""
 
-        def fetched(kind: str, record: JobRecord | None, version: int) -> None:
+        def fetched(kind: ReadOutcome, record: JobRecord | None, version: int) -> None:
             if record is not None:
                 self._job_index.apply_record(job, record, version)
             done(kind, record, version)
--- a/tealhook/scheduling/commits.py
+++ b/tealhook/scheduling/commits.py
@@ -16,7 +16,7 @@
 from tealhook.jobs.team import TeamState
 from tealhook.loop.effects import Cancellable
 from tealhook.scheduling.job_writes import SMALLER, TXN_BYTES, Changes, JobWrite, Kind
-from tealhook.state_store import CallPriority, Outcome, StateClient
+from tealhook.state_store import CallPriority, Outcome, ReadOutcome, StateClient
 from tealhook.wire import state as state_wire
 from tealhook.wire.common import dumps
 
@@ -289,10 +289,10 @@
             self._reread_job(job)
 
     def _reread_job(self, job: Job) -> None:
-        def done(kind: str, record: JobRecord | None, version: int) -> None:
+        def done(kind: ReadOutcome, record: JobRecord | None, version: int) -> None:
             if record is not None and record.status == JobState.ACTIVE:
                 job.mod_revision = version
-            elif kind == "unknown":
+            elif kind is ReadOutcome.UNKNOWN:
                 self._effects.later(0.3, lambda: self._reread_job(job))
 
         self._records.read(job.id, done)
--- a/tealhook/scheduling/dependencies.py
+++ b/tealhook/scheduling/dependencies.py
@@ -12,7 +12,7 @@
 from tealhook.context import NodeContext
 from tealhook.jobs.index import JobIndex, JobRecord, JobState
 from tealhook.jobs.records import JobRecords
-from tealhook.state_store import Outcome, StateClient
+from tealhook.state_store import Outcome, ReadOutcome, StateClient
 
 log = logging.getLogger("tealhook.jobs")
 
@@ -65,9 +65,9 @@
             return
         self._reading.add(name)
 
-        def read(kind: str, _record: JobRecord | None, _version: int) -> None:
+        def read(kind: ReadOutcome, _record: JobRecord | None, _version: int) -> None:
             self._reading.discard(name)
-            if kind == "absent":
+            if kind is ReadOutcome.ABSENT:
                 log.error("%s waits for %s, which is not on record", job, name)
 
         self._records.read(name, read)
@@ -99,7 +99,7 @@
         )
 
     def _reread(self, job: str) -> None:
-        def read(_kind: str, record: JobRecord | None, _version: int) -> None:
+        def read(_kind: ReadOutcome, record: JobRecord | None, _version: int) -> None:
             if record is None or record.status == JobState.ACTIVE:
                 self._due_jobs[job] = None
                 self._schedule(10 * self._pause)
--- a/tealhook/scheduling/team_scheduler.py
+++ b/tealhook/scheduling/team_scheduler.py
@@ -24,7 +24,7 @@
 from tealhook.scheduling.cycle import SchedulingCycle
 from tealhook.scheduling.dependencies import DependencyTracker
 from tealhook.scheduling.reconciliation import Reconciliation
-from tealhook.state_store import StateClient
+from tealhook.state_store import ReadOutcome, StateClient
 from tealhook.wire import mesh as wire
 from tealhook.wire import state as state_wire
 
@@ -158,12 +158,12 @@
             return
         waited = set(unknown)
 
-        def read(job: str, kind: str, record: JobRecord | None, version: int) -> None:
+        def read(job: str, kind: ReadOutcome, record: JobRecord | None, version: int) -> None:
             if self.teams.get(team_state.name) is not team_state:
                 return
             if record is not None:
                 self._job_index.apply_record(job, record, version)
-            elif kind == "unknown":
+            elif kind is ReadOutcome.UNKNOWN:
                 self._effects.later(0.2 + 0.2 * self._effects.rng.random(), lambda: ask(job))
                 return
             waited.discard(job)
