--- a/tealhook/controller.py
+++ b/tealhook/controller.py
@@ -95,14 +95,14 @@
         self.partition_manager.on_zone = self._on_zone
 
     def start(self) -> None:
-        """Begin to read the state service, to claim ownership keys, and to gossip twice per heartbeat period."""
+        """Begin to read the state store, to claim ownership keys, and to gossip twice per heartbeat period."""
         self.job_index.start()
         self.ownership.start(self, self.partition_manager)
         self.versions.start()
         every(self.context.effects, self.context.workers.report_s / 2, self.gossip.send)
 
     def on_ownership_change(self, key: str, token: int | None) -> None:
-        """Tell the component that a key is of that this node owns it now, or with None no longer."""
+        """Tell the component to which a key belongs; this is the OwnershipObserver of `Ownership`."""
         if key == FLEET_KEY:
             self.fleet_manager.on_ownership_change(token)
         elif key.startswith(PARTITION_PREFIX):
--- a/tealhook/coordination/claims.py
+++ b/tealhook/coordination/claims.py
@@ -81,7 +81,12 @@
     def review(self) -> None:
         """Claim keys that have no owner; if there are none to claim, hand a key over where that is due."""
         now = self._effects.now()
-        if self._lease.lease_id is None or self._is_writing or not self._view.is_synced or now < self._claim_not_before:
+        if (
+            self._lease.lease_id is None
+            or self._is_writing
+            or not self._view.watcher.synced
+            or now < self._claim_not_before
+        ):
             return
         if not self._view.is_registered:
             # The registration of a former process of this name must be gone first.
--- a/tealhook/coordination/ownership.py
+++ b/tealhook/coordination/ownership.py
@@ -82,7 +82,7 @@
         ownership that has ended: nothing is rented, returned or started until a view requested since has arrived.
         An outage of the state store does not count: nobody can take anything over then.
         """
-        return self._view.viewed_at < self._suspension.last_detected_at(self._effects.now())
+        return self._view.watcher.viewed_at < self._suspension.last_detected_at(self._effects.now())
 
     # -- everybody's keys
 
@@ -94,10 +94,6 @@
         """The owner's fencing token as far as known, whoever the owner is."""
         return self._view.token(key)
 
-    def live_nodes(self) -> dict[str, str]:
-        """Registered nodes and their zones."""
-        return self._view.live_nodes()
-
     def zones(self) -> list[str]:
         """Every zone that has, or should have, a partition."""
         return self._view.zones()
--- a/tealhook/coordination/ownership_view.py
+++ b/tealhook/coordination/ownership_view.py
@@ -66,7 +66,7 @@
         self._expected_keys.update(partition_key(zone) for zone in context.settings.params.zones)
         self._stability = MembershipStability(lease_ttl_s(context), context.effects.now())
         self._on_change: Callable[[], None] | None = None
-        self._watcher = Watcher(
+        self.watcher = Watcher(
             context.effects,
             store,
             OWNERSHIP_PREFIX,
@@ -78,29 +78,19 @@
     def start(self, on_change: Callable[[], None]) -> None:
         """Read the records and follow their changes; `on_change` is called after each."""
         self._on_change = on_change
-        self._watcher.start()
+        self.watcher.start()
 
     # -- lookups
 
-    @property
-    def is_synced(self) -> bool:
-        """Whether all records have been read once."""
-        return self._watcher.synced
-
-    @property
-    def viewed_at(self) -> float:
-        """The view shows at least all that was committed at this time."""
-        return self._watcher.viewed_at
-
     def owner(self, key: str) -> str | None:
         """The node that owns a key as far as known."""
         record = self._records.get(key)
-        return record.node if record else None
+        return record.node if record is not None else None
 
     def token(self, key: str) -> int | None:
         """The owner's fencing token as far as known, whoever the owner is."""
         record = self._records.get(key)
-        return record.token if record else None
+        return record.token if record is not None else None
 
     def has_record(self, key: str) -> bool:
         """Whether a key has an owner, or a malformed record."""
--- a/tealhook/state_store/client.py
+++ b/tealhook/state_store/client.py
@@ -145,7 +145,7 @@
         self._get(priority, target, queue_timeout_s, wait_s + answer_timeout_s, answer)
 
     def _get(self, priority: CallPriority, target: str, wait: float, timeout: float, answer: Answer) -> None:
-        self._submit(priority, StateRequest("GET", target, None, 0, wait, timeout, answer))
+        self.submit(priority, StateRequest("GET", target, None, 0, wait, timeout, answer))
 
     # -- writes
 
@@ -164,7 +164,7 @@
             done(_parse_transaction(status, body))
 
         body = wire.encode_transaction(conditions, operations)
-        self._submit(priority, StateRequest("POST", "/txn", body, max(1, len(operations)), wait, timeout, answer))
+        self.submit(priority, StateRequest("POST", "/txn", body, max(1, len(operations)), wait, timeout, answer))
 
     # -- leases
 
@@ -175,7 +175,7 @@
             done(_parse_lease(status, body))
 
         body = dumps({"ttl_ms": int(ttl_s * 1000)})
-        self._submit(CallPriority.RENEW, StateRequest("POST", "/grants", body, 0, 1.0, CALL_TIMEOUT_S, answer))
+        self.submit(CallPriority.RENEW, StateRequest("POST", "/grants", body, 0, 1.0, CALL_TIMEOUT_S, answer))
 
     def renew_lease(self, lease_id: int, timeout: float, done: Callable[[RenewalOutcome], Any]) -> None:
         """Renew a lease for its whole time to live."""
@@ -187,7 +187,7 @@
                 done(RenewalOutcome.EXPIRED if status == NOT_FOUND else RenewalOutcome.UNKNOWN)
 
         target = f"/grants/{lease_id}/renew"
-        self._submit(CallPriority.RENEW, StateRequest("POST", target, b"{}", 0, 0.5, timeout, answer))
+        self.submit(CallPriority.RENEW, StateRequest("POST", target, b"{}", 0, 0.5, timeout, answer))
 
     def revoke_lease(self, lease_id: int, done: Callable[[bool], Any]) -> None:
         """Delete a lease and with it every key under it; `done(whether it certainly exists no more)`."""
@@ -196,7 +196,7 @@
             done(status in (OK, NO_CONTENT, NOT_FOUND))
 
         target = f"/grants/{lease_id}"
-        self._submit(CallPriority.RENEW, StateRequest("DELETE", target, None, 0, 1.0, CALL_TIMEOUT_S, answer))
+        self.submit(CallPriority.RENEW, StateRequest("DELETE", target, None, 0, 1.0, CALL_TIMEOUT_S, answer))
 
 
 def _parse_read(status: int | None, body: bytes) -> ReadResult:
--- a/tealhook/state_store/request_queue.py
+++ b/tealhook/state_store/request_queue.py
@@ -145,7 +145,7 @@
         )
         return self.write_wait(queued + 1, priority)
 
-    def _submit(self, priority: CallPriority, request: StateRequest) -> None:
+    def submit(self, priority: CallPriority, request: StateRequest) -> None:
         """Queue a request, and send it at once if the rate limits allow that."""
         self._queues[priority].append(_QueuedRequest(request, self._effects.now() + request.queue_timeout_s))
         if not self._pump_scheduled:
--- /dev/null
+++ b/tests/test_ownership_view.py
@@ -0,0 +1,116 @@
+"""The view of ownership records, and what is told of this node's own keys."""
+
+from __future__ import annotations
+
+import random
+from collections.abc import Callable
+
+import pytest
+
+from tealhook.coordination import FLEET_KEY, OwnershipView, partition_key
+from tealhook.coordination.owned_keys import OwnedKeys
+from tealhook.coordination.ownership_view import OwnershipRecord, stored_value
+from tealhook.coordination.suspension import SuspensionDetector
+from tealhook.state_store import StateClient
+from tealhook.wire.common import dumps
+from tests.simulation.context import make_context
+
+KEY = partition_key("za")
+INCARNATION = 7
+
+
+class _Effects:
+    """Answers the first list of keys with the given records, and no watch."""
+
+    def __init__(self, records: dict[str, tuple[object, int]]) -> None:
+        rows = [{"path": key, "v": value, "stamp": revision} for key, (value, revision) in records.items()]
+        self._list = dumps({"rows": rows, "more": False, "epoch": 100})
+        self.rng = random.Random(1)
+        self.time = 50.0
+
+    def now(self) -> float:
+        return self.time
+
+    def later(self, delay: float, call: Callable) -> None:
+        self.time += delay
+        call()
+
+    def state(self, method: str, target: str, body: bytes | None, timeout: float, answer: Callable) -> None:
+        if target.startswith("/store"):
+            answer(200, self._list)
+
+
+class _Observer:
+    """Takes down what it is told."""
+
+    def __init__(self) -> None:
+        self.changes: list[tuple[str, int | None]] = []
+
+    def on_ownership_change(self, key: str, token: int | None) -> None:
+        self.changes.append((key, token))
+
+
+def _view(records: dict[str, tuple[object, int]]) -> tuple[OwnershipView, list[str | None]]:
+    """A view of these records, and the owner of `KEY` at each change of the view."""
+    context = make_context(_Effects(records), incarnation=INCARNATION)
+    view = OwnershipView(context, StateClient(context))
+    owners: list[str | None] = []
+    view.start(lambda: owners.append(view.owner(KEY)))
+    return view, owners
+
+
+def test_losses_are_told_first_and_a_new_token_is_a_loss_and_an_acquisition():
+    """Guards against a component that goes on under its old token after another node has owned its key."""
+    owned, observer = OwnedKeys(), _Observer()
+    owned.update({FLEET_KEY: 3, KEY: 4}, observer)
+    owned.update({FLEET_KEY: 3, KEY: 4}, observer)
+    owned.update({"own/home/a": 6, KEY: 9}, observer)
+    assert observer.changes == [
+        (FLEET_KEY, 3),
+        (KEY, 4),
+        (FLEET_KEY, None),
+        (KEY, None),
+        ("own/home/a", 6),
+        (KEY, 9),
+    ]
+    assert owned.tokens() == {"own/home/a": 6, KEY: 9} and owned.token(FLEET_KEY) is None
+
+
+def test_only_a_higher_token_of_a_peer_counts():
+    view, owners = _view({KEY: (stored_value("n0", "7", "za"), 8)})
+    view.learn_tokens("n1", {KEY: 8, FLEET_KEY: 20})
+    view.learn_tokens("n2", {KEY: 7})
+    assert view.owner(KEY) == "n0" and view.owner(FLEET_KEY) is None and view.tokens_of_this_process() == {KEY: 8}
+    view.learn_tokens("n1", {KEY: 9})
+    assert view.owner(KEY) == "n1" and view.token(KEY) == 9 and view.tokens_of_this_process() == {}
+    assert owners == ["n0", "n1"]
+
+
+def test_an_earlier_process_of_this_name_is_not_this_one():
+    view, _owners = _view({"own/node/n0": (stored_value("n0", "6", "za"), 3), KEY: (stored_value("n0", "6", "za"), 4)})
+    assert not view.is_registered and view.tokens_of_this_process() == {}
+    assert view.incarnation_of("n0") == 6 and view.live_nodes() == {"n0": "za"}
+
+
+@pytest.mark.parametrize("value", [None, 3, [], {}, {"n": None}])
+def test_a_malformed_record_names_no_live_node(value):
+    view, _owners = _view({KEY: (value, 5), "own/node/n1": (value, 6)})
+    assert view.owner(KEY) not in ("n0", "n1", "n2") and view.token(KEY) == 5
+    assert view.incarnation_of("n1") is None and view.has_record(KEY)
+
+
+def test_a_stored_record_is_read_as_it_was_written():
+    value = stored_value("n1", "1f", "zb")
+    assert value == {"n": "n1", "b": "1f", "z": "zb"}
+    assert OwnershipRecord.parse(value, 12) == OwnershipRecord("n1", 12, "1f", "zb")
+
+
+def test_a_suspension_is_detected_once_and_remembered():
+    detector = SuspensionDetector(1.5, 10.0)
+    before = detector.last_detected_at(11.5)
+    assert before < 0.0
+    detector.record_run(11.5)
+    assert detector.last_detected_at(13.0) == before
+    assert detector.last_detected_at(13.1) == 13.1
+    detector.record_run(14.0)
+    assert detector.last_detected_at(15.0) == 13.1
