--- a/tealhook/admission/cancellations.py
+++ b/tealhook/admission/cancellations.py
@@ -4,13 +4,13 @@
 
 from http import HTTPStatus
 
-from tealhook.admission.job_reader import READ_TIMEOUT_S, JobRead, JobReader, ReadOutcome
+from tealhook.admission.job_reader import READ_TIMEOUT_S, JobRead, JobReader
 from tealhook.admission.responses import MAX_QUEUE_WAIT_S, Responder
 from tealhook.http import Reply
 from tealhook.jobs.index import JobIndex
 from tealhook.jobs.job_records import JobState
 from tealhook.jobs.record_store import JobRecordStore
-from tealhook.state_store import CallPriority, Outcome
+from tealhook.state_store import CallPriority, Outcome, ReadOutcome
 from tealhook.wire.common import encode_json, error_body
 from tealhook.wire.users import JobStatus, valid_job_id
 
@@ -55,7 +55,7 @@
 
     def _write_cancellation(self, job: str, team: str, mod_revision: int, reply: Reply, retries: int) -> None:
         def written(outcome: Outcome, _uncertain: list[str]) -> None:
-            if outcome is Outcome.OK:
+            if outcome is Outcome.COMMITTED:
                 reply(HTTPStatus.OK, encode_json(JobStatus(job, JobState.CANCELLED)))
             elif outcome in (Outcome.REFUSED, Outcome.REJECTED) or retries <= 0:
                 self._responder.reply_retry(reply, "state service unavailable")
--- a/tealhook/admission/job_reader.py
+++ b/tealhook/admission/job_reader.py
@@ -2,7 +2,6 @@
 
 from __future__ import annotations
 
-import enum
 from collections.abc import Callable
 from functools import partial
 from typing import Any, NamedTuple
@@ -12,19 +11,11 @@
 from tealhook.jobs.index import JobIndex
 from tealhook.jobs.job_records import JobRecord
 from tealhook.jobs.record_store import JobRecordStore
-from tealhook.state_store import CallPriority, ReadIndex
+from tealhook.state_store import CallPriority, ReadIndex, ReadOutcome
 
 READ_TIMEOUT_S = 1.5  # a user waits 2 s for a poll's answer
 
 
-class ReadOutcome(enum.Enum):
-    """What a read says about a job."""
-
-    FOUND = "ok"
-    ABSENT = "absent"  # it was never accepted
-    UNKNOWN = "unknown"  # the state service has not answered
-
-
 class JobRead(NamedTuple):
     """A read that has ended.
 
@@ -40,9 +31,9 @@
 OnReads = Callable[[list[ReadOutcome]], Any]
 
 
-def _to_on_record(done: OnRead) -> Callable[[str, JobRecord | None, int], Any]:
-    """Wrap `done` for `JobRecordStore`, whose calls end with a word for the outcome."""
-    return lambda kind, record, mod_revision: done(JobRead(ReadOutcome(kind), record, mod_revision))
+def _to_on_record(done: OnRead) -> Callable[[ReadOutcome, JobRecord | None, int], Any]:
+    """Wrap `done` for `JobRecordStore`, which gives the parts of a read one by one."""
+    return lambda outcome, record, mod_revision: done(JobRead(outcome, record, mod_revision))
 
 
 class JobReader:
--- a/tealhook/admission/polls.py
+++ b/tealhook/admission/polls.py
@@ -4,11 +4,12 @@
 
 from http import HTTPStatus
 
-from tealhook.admission.job_reader import JobRead, JobReader, ReadOutcome
+from tealhook.admission.job_reader import JobRead, JobReader
 from tealhook.admission.responses import Refusal, Responder
 from tealhook.admission.status_replies import StatusReplier
 from tealhook.http import Reply
 from tealhook.jobs.index import JobIndex
+from tealhook.state_store import ReadOutcome
 from tealhook.wire.users import valid_job_id
 
 NO_SUCH_JOB = Refusal(HTTPStatus.NOT_FOUND, "no such job")
--- a/tealhook/admission/submissions.py
+++ b/tealhook/admission/submissions.py
@@ -5,7 +5,7 @@
 from http import HTTPStatus
 from typing import NamedTuple
 
-from tealhook.admission.job_reader import READ_TIMEOUT_S, JobRead, JobReader, ReadOutcome
+from tealhook.admission.job_reader import READ_TIMEOUT_S, JobRead, JobReader
 from tealhook.admission.responses import MAX_QUEUE_WAIT_S, Refusal, Responder
 from tealhook.admission.status_replies import MAX_DEPENDENCY_READS, StatusReplier
 from tealhook.admission.submission_records import Submission, encode_submission, find_excess_size
@@ -14,7 +14,7 @@
 from tealhook.http import Reply
 from tealhook.jobs.index import JobIndex
 from tealhook.jobs.job_records import JobState, job_key
-from tealhook.state_store import CallPriority, Outcome, StateClient
+from tealhook.state_store import CallPriority, Outcome, ReadOutcome, StateClient, TransactionResult
 from tealhook.wire import state as state_wire
 from tealhook.wire.common import error_body
 from tealhook.wire.job_parser import InvalidJobError, parse_job
@@ -118,11 +118,11 @@
         """Write the records of a job, unless there is one under its id."""
         job = submission.job
 
-        def written(outcome: Outcome, revision: int, _failed: list[str]) -> None:
-            if outcome is Outcome.OK:
-                self._job_index.apply_record(job, submission.record, revision)
+        def written(result: TransactionResult) -> None:
+            if result.outcome is Outcome.COMMITTED:
+                self._job_index.apply_record(job, submission.record, result.revision)
                 self._statuses.reply_status(HTTPStatus.CREATED, job, JobState.ACTIVE, reply)
-            elif outcome in (Outcome.REFUSED, Outcome.REJECTED):
+            elif result.outcome in (Outcome.REFUSED, Outcome.REJECTED):
                 self._responder.reply_retry(reply, "state service unavailable")
             else:
                 # Accepted earlier, or nobody knows whether now: read, never guess.
--- a/tealhook/fleet/machine_types.py
+++ b/tealhook/fleet/machine_types.py
@@ -30,7 +30,7 @@
 
 from tealhook.coordination import FLEET_KEY
 from tealhook.scheduling.commits import TXN_BYTES
-from tealhook.state_store import CallPriority, Outcome, StateClient
+from tealhook.state_store import CallPriority, Outcome, StateClient, TransactionResult
 from tealhook.wire import state as state_wire
 from tealhook.wire.cloud import MachineType
 from tealhook.wire.common import encode_json
@@ -260,12 +260,12 @@
             change.key: change.expected_revision for change in group
         }
 
-        def answered(outcome: Outcome, revision: int, _failed: list[str]) -> None:
+        def answered(result: TransactionResult) -> None:
             replaced = any(change.key == TYPES_KEY for change in group)
-            present_revision = revision if replaced else first_revision
-            if outcome is Outcome.OK and rest:
+            present_revision = result.revision if replaced else first_revision
+            if result.outcome is Outcome.COMMITTED and rest:
                 self._execute(token, present_revision, rest, done)
             else:
-                done(outcome is Outcome.OK, present_revision)
+                done(result.outcome is Outcome.COMMITTED, present_revision)
 
         self._store.transact(when, [change.operation for change in group], CallPriority.ADMIT, answered)
--- a/tealhook/forwarding.py
+++ b/tealhook/forwarding.py
@@ -58,7 +58,7 @@
         served_peers = [
             (served_at, peer)
             for peer, served_at in self._peers.served_at.items()
-            if now - served_at < self._lease_s / 4 and self._peers.reachable(peer)
+            if now - served_at < self._lease_s / 4 and self._peers.is_reachable(peer)
         ]
         return max(served_peers)[1] if served_peers else None
 
--- a/tealhook/gossip/peer_states.py
+++ b/tealhook/gossip/peer_states.py
@@ -17,6 +17,6 @@
         self._reachable_s = REACHABLE_HEARTBEATS * context.workers.report_s
         self.served_at: dict[str, float] = {}  # peer -> when the state service last served it
 
-    def reachable(self, node: str) -> bool:
+    def is_reachable(self, node: str) -> bool:
         """Whether a message of the peer came lately. Only a hint for choosing a peer: silence proves nothing."""
         return node == self._mesh.node or self._mesh.seconds_since_heard(node) < self._reachable_s
--- a/tealhook/jobs/record_store.py
+++ b/tealhook/jobs/record_store.py
@@ -15,15 +15,14 @@
 from tealhook.context import NodeContext
 from tealhook.jobs.index import JobIndex
 from tealhook.jobs.job_records import JobRecord, JobState, job_key, parse_record
-from tealhook.state_store import CallPriority, Outcome, StateClient
+from tealhook.state_store import CallPriority, Outcome, ReadOutcome, ReadResult, StateClient, TransactionResult
 from tealhook.state_store.client import CALL_TIMEOUT_S
 from tealhook.wire import state as state_wire
 
 MAX_QUEUED_S = 1.0  # a call that has waited so long for request tokens is given up
 
-# Called with the result of a read: "ok", "absent" or "unknown", the record (None also where it is malformed), and
-# its revision.
-OnRecord = Callable[[str, JobRecord | None, int], Any]
+# Called with the outcome of a read, the record (None also where it is malformed), and its revision.
+OnRecord = Callable[[ReadOutcome, JobRecord | None, int], Any]
 
 
 def build_end_write(job: str, record: JobRecord, mod_revision: int) -> tuple[dict[str, int], state_wire.Put]:
@@ -55,13 +54,13 @@
     ) -> None:
         """Read a job's record, and leave the job index as it is."""
 
-        def on_row(kind: str, row: state_wire.KeyValue | None) -> None:
-            if row is None:
-                done(kind, None, 0)
+        def on_read(result: ReadResult) -> None:
+            if result.item is None:
+                done(result.outcome, None, 0)
             else:
-                done(kind, parse_record(row.value), row.mod_revision)
+                done(result.outcome, parse_record(result.item.value), result.item.mod_revision)
 
-        self._store.get(job_key(job), on_row, priority, wait, timeout)
+        self._store.get(job_key(job), on_read, priority, wait, timeout)
 
     def read(
         self,
@@ -73,10 +72,10 @@
     ) -> None:
         """Read a job's record into the job index, then call `done` with it."""
 
-        def on_record(kind: str, record: JobRecord | None, mod_revision: int) -> None:
+        def on_record(outcome: ReadOutcome, record: JobRecord | None, mod_revision: int) -> None:
             if record is not None:
                 self._job_index.apply_record(job, record, mod_revision)
-            done(kind, record, mod_revision)
+            done(outcome, record, mod_revision)
 
         self.fetch(job, on_record, priority, wait, timeout)
 
@@ -100,14 +99,14 @@
             conditions |= condition
             operations.append(operation)
 
-        def on_outcome(outcome: Outcome, revision: int, failed: list[str]) -> None:
-            if outcome is Outcome.OK:
+        def on_result(result: TransactionResult) -> None:
+            if result.outcome is Outcome.COMMITTED:
                 for job, (record, _mod_revision) in ends.items():
-                    self._job_index.apply_record(job, record, revision)
-                done(outcome, [])
-            elif outcome is Outcome.UNSURE:
-                done(outcome, list(ends))
+                    self._job_index.apply_record(job, record, result.revision)
+                done(result.outcome, [])
+            elif result.outcome is Outcome.UNKNOWN:
+                done(result.outcome, list(ends))
             else:
-                done(outcome, [job for job in ends if job_key(job) in failed])
+                done(result.outcome, [job for job in ends if job_key(job) in result.failed_keys])
 
-        self._store.transact(conditions, operations, CallPriority.ADMIT, on_outcome, wait, timeout)
+        self._store.transact(conditions, operations, CallPriority.ADMIT, on_result, wait, timeout)
--- a/tealhook/mesh/mesh.py
+++ b/tealhook/mesh/mesh.py
@@ -39,19 +39,27 @@
     """Take the reply to a message that expects none."""
 
 
+class Registrations(Protocol):
+    """Which process runs under each node's name."""
+
+    def incarnation_of(self, node: str) -> int | None:
+        """The incarnation of the registered process; None when none is known."""
+        ...
+
+
 class Mesh:
     """Sends messages and calls to other controllers, and hands theirs to a handler."""
 
-    def __init__(self, context: NodeContext) -> None:
+    def __init__(self, context: NodeContext, registrations: Registrations) -> None:
         """Frames are accepted from the peers that the settings name."""
         self._effects = context.effects
         self.node = context.node
         self.peers = list(context.settings.peers)
         self._incarnation = context.incarnation
+        self._registrations = registrations
         self._number = 0
         self._pending_calls: dict[int, OnReply] = {}  # by the number of the call
         self._newest_gossip: dict[tuple[str, int], int] = {}  # (sender, incarnation) -> number of its newest gossip
-        self.current_incarnation: Callable[[str], int | None] = lambda _peer: None  # as registered, if it is
         self._heard_at: dict[str, float] = {}  # peer -> when its last message came
         self._handler: MessageHandler  # set by `start`, before any message is sent or received
 
@@ -139,7 +147,7 @@
         This guards against delayed copies from before one or several restarts: they must not be taken for current, and
         their numbers must not make later gossip look old.
         """
-        current = self.current_incarnation(envelope.sender)
+        current = self._registrations.incarnation_of(envelope.sender)
         if current is not None and current != envelope.incarnation:
             return False
         key = (envelope.sender, envelope.incarnation)
--- a/tealhook/scheduling/commits.py
+++ b/tealhook/scheduling/commits.py
@@ -20,7 +20,7 @@
 from tealhook.jobs.team import TeamState
 from tealhook.loop.effects import Cancellable
 from tealhook.scheduling.job_writes import SMALLER, TXN_BYTES, Changes, JobWrite, Kind
-from tealhook.state_store import CallPriority, Outcome, StateClient
+from tealhook.state_store import CallPriority, Outcome, ReadOutcome, StateClient
 from tealhook.wire import state as state_wire
 from tealhook.wire.common import dumps
 
@@ -124,7 +124,7 @@
             self._send(urgent + rest, CallPriority.ASSIGN)
         elif soft:
             soft.sort(key=lambda pair: pair[1].deferrable_since)
-            self._send(soft, CallPriority.KEEP)
+            self._send(soft, CallPriority.BOOKKEEPING)
 
     def _send(self, pairs: list[tuple[TeamState, Job]], priority: CallPriority) -> None:
         room = min(self._store.max_operations, max(2, self._store.available_writes(priority)))
@@ -157,7 +157,10 @@
             write.job.write_state = WriteState.PENDING
             write.job.dirty_chunks -= write.written_chunks
         self._store.transact(
-            when, apply, priority, lambda outcome, revision, failed: self._committed(batch, outcome, revision, failed)
+            when,
+            apply,
+            priority,
+            lambda result: self._committed(batch, result.outcome, result.revision, result.failed_keys),
         )
         if left:
             self.schedule_commit()
@@ -166,16 +169,16 @@
         launches: dict[tuple[str, str], list[tuple[str, Attempt]]] = {}
         if outcome is Outcome.REJECTED:
             self._rejected(batch)
-        elif outcome is Outcome.OK:
+        elif outcome is Outcome.COMMITTED:
             self._max_jobs = min(MOST_JOBS, 2 * self._max_jobs)
         for write in batch:
             team_state, job = write.team_state, write.job
             job.write_state = WriteState.SETTLED
             if self._teams.get(team_state.name) is not team_state:
                 continue
-            if outcome is Outcome.OK:
+            if outcome is Outcome.COMMITTED:
                 self._durable(write, revision, launches)
-            elif outcome is Outcome.UNSURE:
+            elif outcome is Outcome.UNKNOWN:
                 job.dirty_chunks |= write.written_chunks
                 if 0 not in write.written_chunks:
                     job.uncertain_chunks |= write.written_chunks
@@ -290,10 +293,10 @@
             self._reread_job(job)
 
     def _reread_job(self, job: Job) -> None:
-        def done(kind: str, record: JobRecord | None, version: int) -> None:
+        def done(kind: ReadOutcome, record: JobRecord | None, version: int) -> None:
             if record is not None and record.status == JobState.ACTIVE:
                 job.mod_revision = version
-            elif kind == "unknown":
+            elif kind is ReadOutcome.UNKNOWN:
                 self._effects.later(0.3, lambda: self._reread_job(job))
 
         self._records.read(job.id, done)
--- a/tealhook/scheduling/dependencies.py
+++ b/tealhook/scheduling/dependencies.py
@@ -14,7 +14,7 @@
 from tealhook.jobs.job_records import JobRecord, JobState
 from tealhook.jobs.record_store import JobRecordStore
 from tealhook.jobs.team import TeamState
-from tealhook.state_store import Outcome, StateClient
+from tealhook.state_store import Outcome, ReadOutcome, StateClient
 
 log = logging.getLogger(__name__)
 
@@ -74,10 +74,10 @@
         self._records.read(dependency, partial(self._on_dependency_read, dependency, job))
 
     def _on_dependency_read(
-        self, dependency: str, job: str, kind: str, _record: JobRecord | None, _version: int
+        self, dependency: str, job: str, outcome: ReadOutcome, _record: JobRecord | None, _version: int
     ) -> None:
         self._reading.discard(dependency)
-        if kind == "absent":
+        if outcome is ReadOutcome.ABSENT:
             log.error("%s depends on %s, which is not on record", job, dependency)
 
     def _cancel(self, jobs: list[str]) -> None:
@@ -95,7 +95,7 @@
     def _on_cancelled(self, jobs: list[str], outcome: Outcome, uncertain: list[str]) -> None:
         """Of a write that failed, the jobs in `uncertain` are read first; the others are checked again."""
         self._cancelling.difference_update(jobs)
-        if outcome is Outcome.OK:
+        if outcome is Outcome.COMMITTED:
             return
         if outcome is Outcome.REJECTED:
             self._max_cancelled = max(1, len(jobs) // 2)
@@ -104,12 +104,12 @@
         unchanged = [job for job in jobs if job not in uncertain]
         self._due_jobs.update(dict.fromkeys(unchanged))
         if unchanged:
-            self._schedule(self._pause if outcome is Outcome.CONFLICT else RETRY_PAUSES * self._pause)
+            self._schedule(self._pause if outcome is Outcome.CONFLICTED else RETRY_PAUSES * self._pause)
 
     def _read_again(self, job: str) -> None:
         self._records.read(job, partial(self._on_read_again, job))
 
-    def _on_read_again(self, job: str, _kind: str, record: JobRecord | None, _version: int) -> None:
+    def _on_read_again(self, job: str, _outcome: ReadOutcome, record: JobRecord | None, _version: int) -> None:
         if record is None or record.status == JobState.ACTIVE:
             self._due_jobs[job] = None
             self._schedule(RETRY_PAUSES * self._pause)
--- a/tealhook/scheduling/team_recovery.py
+++ b/tealhook/scheduling/team_recovery.py
@@ -16,7 +16,7 @@
 from tealhook.jobs.record_store import JobRecordStore
 from tealhook.jobs.team import TeamState
 from tealhook.scheduling.job_building import JobBuilder
-from tealhook.state_store import StateClient
+from tealhook.state_store import ReadOutcome, StateClient
 from tealhook.wire import state as state_wire
 
 log = logging.getLogger(__name__)
@@ -96,12 +96,14 @@
         if self._is_current(recovery.team_state):
             self._records.fetch(job, partial(self._on_job_read, recovery, job))
 
-    def _on_job_read(self, recovery: _Recovery, job: str, kind: str, record: JobRecord | None, revision: int) -> None:
+    def _on_job_read(
+        self, recovery: _Recovery, job: str, outcome: ReadOutcome, record: JobRecord | None, revision: int
+    ) -> None:
         if not self._is_current(recovery.team_state):
             return
         if record is not None:
             self._job_index.apply_record(job, record, revision)
-        elif kind == "unknown":
+        elif outcome is ReadOutcome.UNKNOWN:
             self._effects.later(self._retry_pause_s(), partial(self._read_job, recovery, job))
             return
         recovery.unread.discard(job)
--- a/tests/test_job_records.py
+++ b/tests/test_job_records.py
@@ -9,7 +9,7 @@
 from tealhook.jobs.job import Job
 from tealhook.jobs.job_records import JobRecord, JobState
 from tealhook.jobs.record_store import JobRecordStore, build_end_write
-from tealhook.state_store import CallPriority, Outcome
+from tealhook.state_store import CallPriority, Outcome, ReadOutcome, ReadResult, TransactionResult
 from tealhook.wire import state as state_wire
 from tealhook.wire.common import dumps
 from tealhook.wire.state import KeyValue
@@ -89,8 +89,8 @@
             1.5,
         )
     ]
-    store.answer(Outcome.OK, 12, [])
-    assert told == [(Outcome.OK, [], 2)]
+    store.answer(TransactionResult(Outcome.COMMITTED, revision=12))
+    assert told == [(Outcome.COMMITTED, [], 2)]
     assert [(job, record.status, version) for job, record, version in index.learned] == [
         ("a", JobState.CANCELLED, 12),
         ("b", JobState.CANCELLED, 12),
@@ -100,8 +100,8 @@
 @pytest.mark.parametrize(
     ("outcome", "failed", "uncertain"),
     [
-        (Outcome.UNSURE, [], ["a", "b"]),
-        (Outcome.CONFLICT, ["job/b"], ["b"]),
+        (Outcome.UNKNOWN, [], ["a", "b"]),
+        (Outcome.CONFLICTED, ["job/b"], ["b"]),
         (Outcome.REFUSED, [], []),
         (Outcome.REJECTED, [], []),
     ],
@@ -109,7 +109,7 @@
 def test_what_is_uncertain_after_an_end_has_to_be_read_and_nothing_is_learned(outcome, failed, uncertain):
     """Guards against telling that a job is cancelled which is not, or the other way round."""
     store, index, told = _end()
-    store.answer(outcome, 0, failed)
+    store.answer(TransactionResult(outcome, failed_keys=failed))
     assert told == [(outcome, uncertain, 0)] and index.learned == []
 
 
@@ -119,22 +119,27 @@
     record = JobRecord("team", JobState.DONE, at=7.5)
     records.read("a", lambda *what: told.append((*what, len(index.learned))), CallPriority.ADMIT, 0.5, 1.5)
     assert store.calls == [("job/a", CallPriority.ADMIT, 0.5, 1.5)]
-    store.answer("ok", KeyValue("job/a", ROW, 8))
-    assert told == [("ok", record, 8, 1)] and index.learned == [("a", record, 8)]
+    store.answer(ReadResult(ReadOutcome.FOUND, KeyValue("job/a", ROW, 8)))
+    assert told == [(ReadOutcome.FOUND, record, 8, 1)] and index.learned == [("a", record, 8)]
     records.fetch("a", lambda *what: told.append(what))
-    store.answer("ok", KeyValue("job/a", ROW, 9))
-    assert told[1:] == [("ok", record, 9)] and len(index.learned) == 1
+    store.answer(ReadResult(ReadOutcome.FOUND, KeyValue("job/a", ROW, 9)))
+    assert told[1:] == [(ReadOutcome.FOUND, record, 9)] and len(index.learned) == 1
 
 
 @pytest.mark.parametrize(
-    ("kind", "row"), [("absent", None), ("unknown", None), ("ok", KeyValue("job/a", {"st": ["no", "record"]}, 8))]
+    ("outcome", "item"),
+    [
+        (ReadOutcome.ABSENT, None),
+        (ReadOutcome.UNKNOWN, None),
+        (ReadOutcome.FOUND, KeyValue("job/a", {"st": ["no", "record"]}, 8)),
+    ],
 )
-def test_without_a_record_nothing_is_learned(kind, row):
+def test_without_a_record_nothing_is_learned(outcome, item):
     records, store, index = _records()
     told: list[tuple] = []
-    records.read("a", lambda kind, record, _version: told.append((kind, record)))
-    store.answer(kind, row)
-    assert told == [(kind, None)] and index.learned == []
+    records.read("a", lambda found, record, _version: told.append((found, record)))
+    store.answer(ReadResult(outcome, item))
+    assert told == [(outcome, None)] and index.learned == []
 
 
 def test_a_submission_is_laid_out_once(monkeypatch):
