--- a/tealhook/placement/__init__.py
+++ b/tealhook/placement/__init__.py
@@ -1,4 +1,4 @@
-"""Placement: estimates, feedback, min-min rounds. Pure functions and small values, no I/O."""
+"""Placement: run-time estimates, the feedback factor and min-min. Pure functions and small values, no I/O."""
 
 from tealhook.placement.feedback import Feedback, PlacementEstimate
 from tealhook.placement.minmin import NEVER_S, Choice, Group, PartitionView, plan_cycle
--- a/tealhook/placement/minmin.py
+++ b/tealhook/placement/minmin.py
@@ -1,23 +1,29 @@
-"""The round: cloud min-min over groups of equal tasks and partitions.
+"""The scheduling cycle's plan: cloud min-min over groups of equal tasks and partitions.
 
 The paper's Algorithm 3 takes, again and again, the pair of mappable task and cloud with the earliest
-estimated finish. Tasks of one job with equal needs are one group here, so a step assigns as many of them as
-the part can start at that same estimate, and a round costs groups x partitions rather than tasks x partitions. Ranks
-(urgency, guarantee) come before min-min's order; within a rank it is min-min.
+estimated finish. Tasks of one job with equal requirements are one group here, so a step assigns as many of them as
+the partition can start at that same estimate, and a cycle costs groups x partitions rather than tasks x partitions.
+Ranks (priority, guarantee) come before min-min's order; within a rank it is min-min.
 """
 
 from __future__ import annotations
 
+from collections.abc import Iterable
 from dataclasses import dataclass, field
 
-from tealhook.placement.feedback import FLOOR_S
+from tealhook.placement.feedback import MIN_ESTIMATE_S
 
-NEVER_S = 1e8  # from here on a part will not be free
+NEVER_S = 1e8  # a partition whose next capacity is this far off will have none
+MAX_CHOICES = 64  # of one plan: what is planned later would rest on stale answers anyway
+ROUND_UP = 0.999  # added before truncation: part of a task takes the capacity of a whole one
 
 
 @dataclass(slots=True)
 class PartitionView:
-    """A part's answer for one group, and what is left of it as the round goes on."""
+    """A partition's capacity for one group, and what is left of it as the plan goes on.
+
+    `cached`, `uncached`: tasks that can start at once, on machines that have the image and on those that lack it.
+    """
 
     cached: int
     uncached: int
@@ -36,7 +42,7 @@
     image_gb: float
     run_s: float
     resources: tuple[float, float, float]
-    partitions: dict[str, PartitionView]
+    partitions: dict[str, PartitionView]  # by zone
     starving: bool = False
     can_preempt: bool = False
     zone_limits: dict[str, int] = field(default_factory=dict)  # zone -> most tasks that may still go there
@@ -44,7 +50,10 @@
 
 @dataclass(slots=True)
 class Choice:
-    """`count` tasks of a group for one part; `hold`: room is held there instead, nothing can start."""
+    """`count` tasks of a group for one partition.
+
+    `holds_capacity`: nothing can start there yet; capacity is reserved for them as it becomes free.
+    """
 
     group: Group
     zone: str
@@ -53,97 +62,134 @@
     holds_capacity: bool = False
 
 
-def finish(view: PartitionView, group: Group, free_s: float, fetch_s: float) -> float:
+def estimate_finish_s(view: PartitionView, group: Group, free_s: float, fetch_s: float) -> float:
     """Earliest free time plus (1 + factor) x (fetch + run): the paper's equation 8."""
-    return free_s + (1.0 + view.feedback_factor) * max(FLOOR_S, fetch_s + group.run_s)
+    return free_s + (1.0 + view.feedback_factor) * max(MIN_ESTIMATE_S, fetch_s + group.run_s)
 
 
-def _best_now(group: Group, zone: str, view: PartitionView) -> tuple[float, int, bool] | None:
-    """(finish, slots, cached) of the best free room of a part, if it has any."""
-    most = group.zone_limits.get(zone, group.count)
-    if most <= 0:
+def _choose_free(group: Group, zone: str) -> Choice | None:
+    """The tasks of a group that would finish earliest on what is free in a partition now, if anything is."""
+    view = group.partitions[zone]
+    allowed = group.zone_limits.get(zone, group.count)
+    if allowed <= 0:
         return None
     if view.cached > 0:
-        return finish(view, group, 0.0, 0.0), min(view.cached, most), True
-    if view.uncached > 0:
-        return finish(view, group, 0.0, group.image_gb / view.fetch_gb_per_s), min(view.uncached, most), False
-    return None
+        available, finish_s = view.cached, estimate_finish_s(view, group, 0.0, 0.0)
+    elif view.uncached > 0:
+        available = view.uncached
+        finish_s = estimate_finish_s(view, group, 0.0, group.image_gb / view.fetch_gb_per_s)
+    else:
+        return None
+    return Choice(group, zone, min(group.count, available, allowed), finish_s)
+
+
+def _choose_next_free(group: Group, zone: str) -> Choice | None:
+    """All tasks of a group, for the next capacity that a partition will have, if any is in sight."""
+    view = group.partitions[zone]
+    if view.next_free_s >= NEVER_S or group.zone_limits.get(zone, group.count) <= 0:
+        return None
+    fetch_s = group.image_gb / view.fetch_gb_per_s if not view.cached else 0.0
+    finish_s = estimate_finish_s(view, group, view.next_free_s, fetch_s)
+    return Choice(group, zone, group.count, finish_s, holds_capacity=True)
 
 
-def _best_pair(group: Group) -> Choice | None:
+def _choose_partition(group: Group) -> Choice | None:
+    """The partition where tasks of a group would finish earliest; of equal ones, the first by zone."""
     best: Choice | None = None
-    rooms = {zone: _best_now(group, zone, group.partitions[zone]) for zone in sorted(group.partitions)}
-    # To hold room or to stop others for it makes sense only where none is free anywhere: a part's next free room
-    # is an estimate, and a job's last task once waited minutes for room that was always about to be free.
-    at_once = (group.starving or group.can_preempt) and any(rooms.values())
-    for zone, now in rooms.items():
-        view = group.partitions[zone]
-        if now is not None:
-            choice = Choice(group, zone, min(group.count, now[1]), now[0])
-        elif not at_once and view.next_free_s < NEVER_S and group.zone_limits.get(zone, group.count) > 0:
-            fetch = group.image_gb / view.fetch_gb_per_s if not view.cached else 0.0
-            choice = Choice(group, zone, group.count, finish(view, group, view.next_free_s, fetch), holds_capacity=True)
-        else:
-            continue
-        if best is None or choice.finish_s < best.finish_s:
+    free = {zone: _choose_free(group, zone) for zone in sorted(group.partitions)}
+    # To reserve capacity or to preempt for it makes sense only where none is free anywhere: when a partition's next
+    # capacity is free is an estimate, and a job's last task once waited minutes for some that was always about to be.
+    only_free = (group.starving or group.can_preempt) and any(free.values())
+    for zone, choice in free.items():
+        if choice is None and not only_free:
+            choice = _choose_next_free(group, zone)
+        if choice is not None and (best is None or choice.finish_s < best.finish_s):
             best = choice
     return best
 
 
-def _take(group: Group, choice: Choice, groups: list[Group]) -> None:
-    """Count a choice against what every group believes of that part."""
-    zone, count = choice.zone, choice.count
-    view = group.partitions[zone]
-    was_cached = view.cached > 0
+def _consume(view: PartitionView, count: int, cached_first: bool) -> None:
+    """Take the capacity of `count` tasks off a view."""
+    if cached_first:
+        taken = min(count, view.cached)
+        view.cached -= taken
+        view.uncached = max(0, view.uncached - (count - taken))
+    else:
+        taken = min(count, view.uncached)
+        view.uncached -= taken
+        view.cached = max(0, view.cached - (count - taken))
+
+
+def _equivalent_count(chosen: Group, count: int, other: Group) -> int:
+    """The capacity of `count` tasks of one group, in tasks of another."""
+    ratio = max(
+        (ours / theirs for ours, theirs in zip(chosen.resources, other.resources, strict=True) if theirs > 0),
+        default=0.0,
+    )
+    return int(count * ratio + ROUND_UP)
+
+
+def _apply(choice: Choice, groups: list[Group]) -> None:
+    """Count a choice of free capacity against what every group believes of that partition."""
+    group, zone, count = choice.group, choice.zone, choice.count
+    was_cached = group.partitions[zone].cached > 0
     for other in groups:
-        seen = other.partitions.get(zone)
-        if seen is None:
+        view = other.partitions.get(zone)
+        if view is None:
             continue
         if other is group:
-            used = count
-        else:  # the same room, in units of the other group's tasks
-            share = max(
-                (mine / theirs for mine, theirs in zip(group.resources, other.resources, strict=True) if theirs > 0),
-                default=0.0,
-            )
-            used = int(count * share + 0.999)
-        first, second = ("cached", "uncached") if (other is not group or was_cached) else ("uncached", "cached")
-        from_first = min(used, getattr(seen, first))
-        setattr(seen, first, getattr(seen, first) - from_first)
-        setattr(seen, second, max(0, getattr(seen, second) - (used - from_first)))
+            _consume(view, count, cached_first=was_cached)
+        else:
+            _consume(view, _equivalent_count(group, count, other), cached_first=True)
     if zone in group.zone_limits:
         group.zone_limits[zone] -= count
     group.count -= count
 
 
-def plan_cycle(groups: list[Group], most: int = 64) -> list[Choice]:
-    """Choices in the order in which they were made; at most `most` of them."""
+def _apply_held(choice: Choice, groups: list[Group]) -> bool:
+    """Count a choice of capacity that is not free yet; returns whether its group has nothing more to place.
+
+    Nothing of this group can start where it would finish first: one task waits for the partition's next capacity, which
+    is taken from then on. This guards against every group waiting for that same capacity with all of its tasks, while
+    other capacity is free.
+    """
+    group = choice.group
+    if group.starving or group.can_preempt:
+        exhausted = True
+    else:
+        choice.count = 1
+        group.count -= 1
+        exhausted = group.count <= 0
+    for other in groups:
+        if choice.zone in other.partitions:
+            other.partitions[choice.zone].next_free_s = NEVER_S
+    return exhausted
+
+
+def _earliest(choices: Iterable[Choice | None]) -> Choice | None:
+    """The choice with the earliest estimated finish; equal ones go by job and zone, so that runs can be repeated."""
+    return min(
+        (choice for choice in choices if choice is not None),
+        key=lambda choice: (choice.finish_s, choice.group.job, choice.zone),
+        default=None,
+    )
+
+
+def plan_cycle(groups: list[Group], max_choices: int = MAX_CHOICES) -> list[Choice]:
+    """Choices in the order in which they were made; at most `max_choices` of them."""
     choices: list[Choice] = []
     for rank in sorted({group.rank for group in groups}):
         open_groups = [group for group in groups if group.rank == rank and group.count > 0]
-        while open_groups and len(choices) < most:
-            pairs = [pair for pair in map(_best_pair, open_groups) if pair is not None]
-            if not pairs:
+        while open_groups and len(choices) < max_choices:
+            best = _earliest(map(_choose_partition, open_groups))
+            if best is None:
                 break
-            best = min(pairs, key=lambda pair: (pair.finish_s, pair.group.job, pair.zone))
-            if best.holds_capacity:
-                # Nothing of this group can start where it would finish first: one task waits for the part's next free
-                # room, which is taken from then on. This guards against every group waiting for that same room
-                # with all of its tasks, while other room is free.
-                if best.group.starving or best.group.can_preempt:
-                    open_groups.remove(best.group)
-                else:
-                    best.count = 1
-                    best.group.count -= 1
-                    if best.group.count <= 0:
-                        open_groups.remove(best.group)
-                choices.append(best)
-                for group in groups:
-                    if best.zone in group.partitions:
-                        group.partitions[best.zone].next_free_s = NEVER_S
-                continue
             choices.append(best)
-            _take(best.group, best, groups)
-            if best.group.count <= 0:
+            if best.holds_capacity:
+                exhausted = _apply_held(best, groups)
+            else:
+                _apply(best, groups)
+                exhausted = best.group.count <= 0
+            if exhausted:
                 open_groups.remove(best.group)
     return choices
--- a/tealhook/scheduling/attempts.py
+++ b/tealhook/scheduling/attempts.py
@@ -194,7 +194,7 @@
 
     def _learn_feedback(self, team_state: TeamState, zone: str, placed: PlacementEstimate, now: float) -> None:
         factor = team_state.factors.setdefault(zone, Feedback(now))
-        factor.finish(placed, now, self._policy.value("feedback"))
+        factor.record_finish(placed, now, self._policy.value("feedback"))
 
     def _remove(self, team_state: TeamState, job: Job, attempt: Attempt) -> None:
         """The attempt is certainly not on its machine any more."""
--- a/tealhook/scheduling/team_scheduler.py
+++ b/tealhook/scheduling/team_scheduler.py
@@ -247,7 +247,7 @@
             waiting = any(job.waiting_count() > 0 for job in team_state.jobs.values())
             if not waiting:
                 for factor in team_state.factors.values():
-                    factor.idle(now, self._workers.lease_s)
+                    factor.decay(now, self._workers.lease_s)
         self.commits.schedule_commit()
 
     # -- what others want to know
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -6,7 +6,7 @@
 
 from tealhook.loop import TokenBucket
 from tealhook.placement import Feedback, Group, PartitionView, PlacementEstimate, plan_cycle
-from tealhook.placement.minmin import finish
+from tealhook.placement.minmin import estimate_finish_s
 
 
 def view(cached=0, uncached=0, next_s=1e9, rate=1.0, factor=0.0):
@@ -20,20 +20,20 @@
 def test_feedback_follows_the_papers_equation():
     factor = Feedback(0.0)
     placed = PlacementEstimate(free_at=100.0, fetch_s=2.0, run_s=8.0)
-    factor.finish(placed, 115.0, 0.8)  # actual 15 against 10
+    factor.record_finish(placed, 115.0, 0.8)  # actual 15 against 10
     assert factor.factor == pytest.approx(0.8 * (15 - 10) / 10)
-    factor.finish(placed, 200.0, 0.8)
+    factor.record_finish(placed, 200.0, 0.8)
     assert factor.factor == 1.0  # capped
-    factor.idle(205.0, 10.0)
+    factor.decay(205.0, 10.0)
     assert factor.factor == pytest.approx(0.5)
-    factor.idle(300.0, 10.0)
+    factor.decay(300.0, 10.0)
     assert factor.factor == 0.0
     assert PlacementEstimate(0.0, 0.0, 0.1).estimate == 1.0  # floored at one second
 
 
 def test_finish_counts_free_time_fetch_run_and_factor():
     g = group("a", 1, {})
-    assert finish(view(factor=0.5), g, 3.0, 2.0) == pytest.approx(3.0 + 1.5 * 12.0)
+    assert estimate_finish_s(view(factor=0.5), g, 3.0, 2.0) == pytest.approx(3.0 + 1.5 * 12.0)
 
 
 def test_cached_part_wins_until_it_is_full():
