--- a/tealhook/fleet/machine_types.py
+++ b/tealhook/fleet/machine_types.py
@@ -28,7 +28,7 @@
 import msgspec
 
 from tealhook.coordination import FLEET_KEY
-from tealhook.scheduling.commits import TXN_BYTES
+from tealhook.scheduling.job_writes import TXN_BYTES
 from tealhook.state_store import CallPriority, Outcome, StateClient
 from tealhook.wire import state as state_wire
 from tealhook.wire.cloud import MachineType
--- a/tealhook/scheduling/job_writes.py
+++ b/tealhook/scheduling/job_writes.py
@@ -1,9 +1,11 @@
-"""What a transaction holds of one job: the pieces of its record, its end, and the conditions on which it stands."""
+"""What a transaction holds of one job: chunks of its assignment record, its end, and the conditions of both."""
 
 from __future__ import annotations
 
 import enum
 from collections.abc import Iterable
+from dataclasses import dataclass, field
+from typing import NamedTuple
 
 from tealhook.context import NodeContext
 from tealhook.coordination import partition_key, team_key
@@ -13,56 +15,51 @@
 from tealhook.jobs.team import TeamState
 from tealhook.state_store import StateClient
 from tealhook.wire import state as state_wire
+from tealhook.wire.common import dumps
 
 TXN_BYTES = 56 * 1024  # of the 64 KiB that a transaction may have
-SMALLER = 2  # so often the write of a job is halved, once one was rejected
+MAX_HALVINGS = 2  # so often the write of a job is halved, once one was rejected
+CONDITIONS_PER_OPERATION = 4  # a transaction may have so many times as many conditions as operations
+CONDITION_BYTES = 60  # about what a condition takes of a transaction
+FIXED_CONDITIONS = 3  # of an assignment: the team's ownership, the job's record, the first chunk of its assignments
 
 
-class Kind(enum.Enum):
+class WriteKind(enum.Enum):
     """What a write does to a job."""
 
-    PUT = "put"  # makes its assignments durable
-    DONE = "done"  # ends it, and drops its record
-    DROP = "drop"  # drops the record of one that has ended
+    ASSIGN = "assign"  # makes its assignments durable
+    FINISH = "finish"  # ends it, and deletes its assignment record
+    DELETE = "delete"  # deletes the assignment record of a job that has ended
 
 
+class ChunkLimits(NamedTuple):
+    """What one write of a job may have."""
+
+    max_bytes: float  # of one chunk
+    max_chunks: int
+
+
+@dataclass(slots=True, eq=False)
 class JobWrite:
-    """What a transaction holds of one job."""
-
-    __slots__ = (
-        "team_state",
-        "job",
-        "staged",
-        "kind",
-        "written_chunks",
-        "kept_chunks",
-        "moved_attempts",
-        "condition_chunks",
-    )
-
-    def __init__(
-        self,
-        team_state: TeamState,
-        job: Job,
-        staged: list[Attempt],
-        kind: Kind,
-        written: Iterable[int],
-        kept: set[int],
-        moved: list[tuple[Attempt, int]],
-        named: set[int],
-    ) -> None:
-        """The write of `job` with the tasks that were `staged` when it was laid out."""
-        self.team_state = team_state
-        self.job = job
-        self.staged = staged
-        self.kind = kind
-        self.written_chunks = set(written)  # pieces of the record
-        self.kept_chunks = kept  # those of them that are there afterwards
-        self.moved_attempts = moved  # attempts that other pieces name afterwards
-        self.condition_chunks = named  # pieces on whose stamps it depends
-
-
-class Changes:
+    """What a transaction holds of one job, and what becomes of the job once it is executed."""
+
+    team_state: TeamState
+    job: Job
+    kind: WriteKind
+    conditions: state_wire.Conditions
+    condition_chunks: set[int]  # on whose revisions it depends
+    operations: list[state_wire.Operation] = field(default_factory=list)
+    staged: list[Attempt] = field(default_factory=list)  # as they were when it was laid out
+    written_chunks: set[int] = field(default_factory=set)
+    kept_chunks: set[int] = field(default_factory=set)  # those of them that exist afterwards
+    moved_attempts: list[tuple[Attempt, int]] = field(default_factory=list)  # with the chunks that name them afterwards
+
+    def encoded_bytes(self) -> int:
+        """About what it takes of a transaction."""
+        return sum(len(dumps(operation)) for operation in self.operations) + CONDITION_BYTES * len(self.conditions)
+
+
+class JobWriteBuilder:
     """Lays out the writes of jobs, within the limits of the state service."""
 
     def __init__(self, context: NodeContext, store: StateClient, records: JobRecords) -> None:
@@ -71,73 +68,106 @@
         self._store = store
         self._records = records
 
-    def lay_out(
-        self, team_state: TeamState, job: Job
-    ) -> tuple[dict[str, int], list[state_wire.Operation], JobWrite | None]:
-        """Conditions and changes that make a job's present state durable."""
-        # The first piece is in every condition, and written by every assignment: so a write that is executed late
-        # can't slip in between, and attempts given out by any piece are counted.
-        when = {
+    def build(self, team_state: TeamState, job: Job) -> JobWrite | None:
+        """The write that makes a job's present state durable; None when there is nothing to write."""
+        if job.finished:
+            return self._build_finish(team_state, job)
+        if job.spec is None:
+            return self._build_delete(team_state, job)
+        return self._build_assignment(team_state, job)
+
+    def _start_write(self, team_state: TeamState, job: Job, kind: WriteKind) -> JobWrite:
+        """A write with the conditions that every write of a job has."""
+        # The first chunk is in every condition, and written by every assignment: so a write that is executed late
+        # can't slip in between, and attempts given out by any chunk are counted.
+        conditions = {
             team_key(team_state.name): team_state.token,
             assignment_key(team_state.name, job.id): job.chunk_revisions.get(0, 0),
         }
-        # A copy that may be executed late must not come to pieces of which we would know nothing.
-        named = {0, *sorted(job.uncertain_chunks)[: self._store.max_operations]}
-        changes: list[state_wire.Operation] = []
-        moved: list[tuple[Attempt, int]] = []
-        kind, staged = Kind.PUT, []
-        limit, most = self._bounds(job)
-        if job.finished:
-            kind = Kind.DONE
-            condition, change = ending(job.id, self._records.ended(job.team, JobState.DONE), job.mod_revision)
-            when.update(condition)
-            changes.append(change)
-        elif job.spec is None:
-            kind = Kind.DROP
-        if kind is not Kind.PUT:
-            # They stay until nothing is on a machine; the first goes last.
-            chunks = [] if job.attempts else sorted(job.chunk_revisions, reverse=True)[: max(1, most - len(changes))]
-            written: dict[int, dict | None] = dict.fromkeys(chunks)
-            if kind is Kind.DROP and not written:
-                job.has_deferrable_change = False
-                return when, [], None
-        else:
-            written = self._pieces(job, limit, most)
-            moved = job.moved_attempts
-            named |= {attempt.chunk for attempt, _ in moved}
-            staged = list(job.staged.values())
-            if staged:
-                when[job_key(job.id)] = job.mod_revision
-                when.update({partition_key(attempt.zone): attempt.partition_token for attempt in staged})
-        kept: set[int] = set()
-        for chunk, value in written.items():
-            key = assignment_key(team_state.name, job.id, chunk)
-            named.add(chunk)
+        # A copy that may be executed late must not write chunks of which we would know nothing.
+        condition_chunks = {0, *sorted(job.uncertain_chunks)[: self._store.max_operations]}
+        return JobWrite(team_state, job, kind, conditions, condition_chunks)
+
+    def _build_finish(self, team_state: TeamState, job: Job) -> JobWrite:
+        write = self._start_write(team_state, job, WriteKind.FINISH)
+        record = self._records.ended(job.team, JobState.DONE)
+        condition, operation = ending(job.id, record, job.mod_revision)
+        write.conditions.update(condition)
+        write.operations.append(operation)
+        deleted = self._deletable_chunks(job, self._chunk_limits(job).max_chunks - len(write.operations))
+        self._add_chunks(write, dict.fromkeys(deleted))
+        return write
+
+    def _build_delete(self, team_state: TeamState, job: Job) -> JobWrite | None:
+        write = self._start_write(team_state, job, WriteKind.DELETE)
+        deleted = self._deletable_chunks(job, self._chunk_limits(job).max_chunks)
+        if not deleted:
+            job.has_deferrable_change = False
+            return None
+        self._add_chunks(write, dict.fromkeys(deleted))
+        return write
+
+    def _build_assignment(self, team_state: TeamState, job: Job) -> JobWrite:
+        write = self._start_write(team_state, job, WriteKind.ASSIGN)
+        chunks = self._lay_out_chunks(job, self._chunk_limits(job))
+        write.moved_attempts = job.moved_attempts
+        write.condition_chunks |= {attempt.chunk for attempt, _ in write.moved_attempts}
+        write.staged = list(job.staged.values())
+        if write.staged:
+            write.conditions[job_key(job.id)] = job.mod_revision
+            write.conditions.update({partition_key(a.zone): a.partition_token for a in write.staged})
+        self._add_chunks(write, chunks)
+        return write
+
+    @staticmethod
+    def _deletable_chunks(job: Job, max_chunks: int) -> list[int]:
+        """Chunks to delete of a job that is over: none while it has anything on a machine; the first goes last."""
+        if job.attempts:
+            return []
+        return sorted(job.chunk_revisions, reverse=True)[: max(1, max_chunks)]
+
+    @staticmethod
+    def _add_chunks(write: JobWrite, chunks: dict[int, dict | None]) -> None:
+        """Add the operations on chunks, and the conditions on their revisions.
+
+        A chunk without a value is deleted, and so is one without assignments, unless it is the first.
+        """
+        job, team = write.job, write.team_state.name
+        for chunk, value in chunks.items():
+            key = assignment_key(team, job.id, chunk)
+            write.condition_chunks.add(chunk)
             if value is not None and (value["m"] or not chunk):
-                kept.add(chunk)
-                changes.append(state_wire.put(key, value))
+                write.kept_chunks.add(chunk)
+                write.operations.append(state_wire.put(key, value))
             elif chunk in job.chunk_revisions:
-                changes.append(state_wire.drop(key))
-        for chunk in named:
-            when[assignment_key(team_state.name, job.id, chunk)] = job.chunk_revisions.get(chunk, 0)
-        return when, changes, JobWrite(team_state, job, staged, kind, written.keys(), kept, moved, named)
-
-    def _bounds(self, job: Job) -> tuple[float, int]:
-        """How large a piece of a job's record may be, and how many of them one write may have."""
-        limit = min(self._store.record_bytes, TXN_BYTES / 2)
-        most = min(self._store.max_operations, int(TXN_BYTES / limit))
+                write.operations.append(state_wire.drop(key))
+        write.written_chunks = set(chunks)
+        for chunk in write.condition_chunks:
+            write.conditions[assignment_key(team, job.id, chunk)] = job.chunk_revisions.get(chunk, 0)
+
+    def _chunk_limits(self, job: Job) -> ChunkLimits:
+        """Limits of one write of a job; they are halved, `MAX_HALVINGS` times at most, each time it is rejected."""
+        max_bytes = min(self._store.record_bytes, TXN_BYTES / 2)
+        max_chunks = min(self._store.max_operations, int(TXN_BYTES / max_bytes))
         if job.rejections:
-            limit, most = limit / 2 ** min(job.rejections, SMALLER), max(2, most >> min(job.rejections, SMALLER))
-        return limit, most
-
-    def _pieces(self, job: Job, limit: float, most: int) -> dict[int, dict | None]:
-        """The pieces to be written with what is staged; what finds no room in this write waits again."""
-        self._few_zones(job, 4 * self._store.max_operations - 3 - 2 * most - len(job.uncertain_chunks))
-        written: dict[int, dict | None] = {**job.lay_out(int(limit), most)}
-        job.unstage([a for a in job.staged.values() if a.chunk < 0], self._effects.now())
-        return written
-
-    def _few_zones(self, job: Job, most: int) -> None:
+            halvings = min(job.rejections, MAX_HALVINGS)
+            return ChunkLimits(max_bytes / 2**halvings, max(2, max_chunks >> halvings))
+        return ChunkLimits(max_bytes, max_chunks)
+
+    def _lay_out_chunks(self, job: Job, limits: ChunkLimits) -> dict[int, dict | None]:
+        """The chunks to be written with what is staged; what finds no capacity in this write waits again."""
+        max_conditions = CONDITIONS_PER_OPERATION * self._store.max_operations
+        # A chunk that is written, and another whose attempts move to it, take a condition each.
+        other_conditions = FIXED_CONDITIONS + 2 * limits.max_chunks + len(job.uncertain_chunks)
+        self._limit_zones(job, max_conditions - other_conditions)
+        chunks: dict[int, dict | None] = {**job.lay_out(int(limits.max_bytes), limits.max_chunks)}
+        self._unstage(job, (attempt for attempt in job.staged.values() if attempt.chunk < 0))
+        return chunks
+
+    def _limit_zones(self, job: Job, max_zones: int) -> None:
         """Conditions are limited: what is staged in more zones than a transaction can name waits for the next."""
-        zones = sorted({attempt.zone for attempt in job.staged.values()})[max(1, most) :]
-        job.unstage([attempt for attempt in job.staged.values() if attempt.zone in zones], self._effects.now())
+        excess = sorted({attempt.zone for attempt in job.staged.values()})[max(1, max_zones) :]
+        self._unstage(job, (attempt for attempt in job.staged.values() if attempt.zone in excess))
+
+    def _unstage(self, job: Job, attempts: Iterable[Attempt]) -> None:
+        job.unstage(list(attempts), self._effects.now())
--- /dev/null
+++ b/tealhook/scheduling/read_back.py
@@ -0,0 +1,105 @@
+"""Recovery from writes of unknown outcome: the records are read again, nothing is guessed."""
+
+from __future__ import annotations
+
+import logging
+
+from tealhook.context import NodeContext
+from tealhook.jobs.index import JobRecord, JobState
+from tealhook.jobs.job import Job, WriteState, assignment_key, parse_assignment_key
+from tealhook.jobs.records import JobRecords
+from tealhook.jobs.team import TeamState
+from tealhook.scheduling.interfaces import AttemptObserver, CommitQueue
+from tealhook.state_store import StateClient
+from tealhook.wire import state as state_wire
+
+log = logging.getLogger(__name__)
+
+RECORD_RETRY_S = 0.3  # until a job's record is asked for again
+ASSIGNMENTS_RETRY_S = 0.2  # until assignment records are asked for again, at least
+ASSIGNMENTS_RETRY_JITTER_S = 0.3  # nodes that lost the state service must not come back in step
+
+
+class RecordReadBack:
+    """Brings jobs back to what is on record, after which they may be written again."""
+
+    def __init__(
+        self,
+        context: NodeContext,
+        store: StateClient,
+        records: JobRecords,
+        teams: dict[str, TeamState],
+        proved_off: dict[str, set[tuple[int, int]]],
+        observer: AttemptObserver,
+        commit_queue: CommitQueue,
+    ) -> None:
+        """Jobs of `teams`; of their attempts on record, those in `proved_off` are certainly gone by now."""
+        self._effects = context.effects
+        self._store = store
+        self._records = records
+        self._teams = teams
+        self._proved_off = proved_off
+        self._observer = observer
+        self._commit_queue = commit_queue
+
+    def read_job_record(self, job: Job) -> None:
+        """Read the job's own record until it is known: later writes depend on its revision."""
+
+        def on_record(kind: str, record: JobRecord | None, version: int) -> None:
+            if record is not None and record.status == JobState.ACTIVE:
+                job.mod_revision = version
+            elif kind == "unknown":
+                self._effects.later(RECORD_RETRY_S, lambda: self.read_job_record(job))
+
+        self._records.read(job.id, on_record)
+
+    def read_assignments(self, team_state: TeamState, job: Job) -> None:
+        """Nobody knows whether a write of the job was executed: read its assignment record until it is known.
+
+        The write may even be executed later; then the condition of the next one fails, and we come here again.
+        """
+
+        def on_rows(rows: list[state_wire.KeyValue] | None, _revision: int) -> None:
+            if self._teams.get(team_state.name) is not team_state:
+                return
+            if rows is None:
+                delay = ASSIGNMENTS_RETRY_S + ASSIGNMENTS_RETRY_JITTER_S * self._effects.rng.random()
+                self._effects.later(delay, lambda: self.read_assignments(team_state, job))
+                return
+            self._restore(team_state, job, rows)
+
+        self._store.list(assignment_key(team_state.name, job.id), on_rows)
+
+    def _restore(self, team_state: TeamState, job: Job, rows: list[state_wire.KeyValue]) -> None:
+        """Go on with a job from what is on record."""
+        job.unstage(list(job.staged.values()), self._effects.now())  # none of them was launched
+        job.write_state = WriteState.SETTLED
+        before = dict(job.attempts)
+        self._load_changed(team_state, job, rows)
+        for index, attempt in job.attempts.items():
+            attempt.chunk = max(0, attempt.chunk)
+            if before.get(index) is not attempt:
+                self._observer.index_attempt(team_state, job, attempt)
+        self.read_job_record(job)
+        self._observer.reconcile(team_state)
+        self._observer.wake_scheduler()
+        self._commit_queue.schedule_commit()
+
+    def _load_changed(self, team_state: TeamState, job: Job, rows: list[state_wire.KeyValue]) -> None:
+        """Load the chunks of a job's record whose revision is another than the one known here."""
+        now, known_revisions = self._effects.now(), job.chunk_revisions
+        job.chunk_revisions = {}
+        rows_by_chunk: list[tuple[int, state_wire.KeyValue]] = []
+        for row in rows:
+            job_id, chunk = parse_assignment_key(row.key, team_state.name)
+            if job_id == job.id:  # the key is a prefix of other jobs' keys too
+                rows_by_chunk.append((chunk, row))
+        job.forget_places({chunk for chunk, row in rows_by_chunk if row.mod_revision == known_revisions.get(chunk)})
+        for chunk, row in rows_by_chunk:
+            if row.mod_revision == known_revisions.get(chunk):
+                job.chunk_revisions[chunk] = row.mod_revision
+                continue
+            try:
+                job.load(chunk, row.value, row.mod_revision, now, self._proved_off.get(job.id))
+            except ValueError as exc:
+                log.error("%s", exc)
