--- a/tealhook/scheduling/cycle.py
+++ b/tealhook/scheduling/cycle.py
@@ -1,24 +1,40 @@
-"""The scheduling cycle: inquire at the partitions, choose by min-min, reserve there, stage for the commit."""
+"""The scheduling cycle: inquire at the partitions, plan by min-min, reserve there, stage for the commit."""
 
 from __future__ import annotations
 
-import logging
 from collections.abc import Callable
-from typing import Any
+from dataclasses import dataclass
+from functools import partial
 
 from tealhook.context import NodeContext
 from tealhook.coordination import Ownership, partition_key
 from tealhook.jobs.index import JobIndex
-from tealhook.jobs.job import Attempt, WriteState
 from tealhook.jobs.team import TeamState
 from tealhook.mesh import Mesh
-from tealhook.placement import NEVER_S, Choice, Group, PartitionView, PlacementEstimate, plan_cycle
-from tealhook.scheduling.candidates import ROUNDING, Candidate, CandidateSelection
-from tealhook.state_store import CallPriority, StateClient
+from tealhook.scheduling.candidates import Candidate, CandidateSelection
+from tealhook.scheduling.interfaces import CommitQueue
+from tealhook.scheduling.planning import Inquiry, PlacementPlanner, PlannedReservation
+from tealhook.scheduling.staging import AttemptStaging
+from tealhook.scheduling.zone_calls import call_zones
+from tealhook.state_store import StateClient
 from tealhook.wire import mesh as wire
-from tealhook.wire.users import JobKind
 
-log = logging.getLogger("tealhook.jobs")
+# Pauses between cycles, as shares of the heartbeat period.
+SHORT_PAUSE_SHARE = 1 / 8  # while tasks are being placed
+MAX_IDLE_PAUSE_SHARE = 1 / 4  # while there is nothing to place, or nowhere
+MAX_FULL_PAUSE_SHARE = 1 / 2  # while nothing that waits can be placed
+REPLY_TIMEOUT_SHARE = 1 / 2  # of the heartbeat period, for a partition's owner to answer
+PAUSE_GROWTH = 1.5
+PAUSE_JITTER = 0.25  # nodes must not inquire in step
+
+
+@dataclass(slots=True)
+class ReservationPhase:
+    """The reservations of one cycle that are being asked for."""
+
+    by_zone: dict[str, list[PlannedReservation]]
+    planned_at: float
+    staged_count: int = 0
 
 
 class SchedulingCycle:
@@ -32,228 +48,129 @@
         mesh: Mesh,
         teams: dict[str, TeamState],
         job_index: JobIndex,
-        behind: Callable[[], bool],
-        commit_soon: Callable[[], Any],
+        commit_queue: CommitQueue,
     ) -> None:
-        """`behind`: whether something placed waits for tokens to be made durable."""
+        """`commit_queue` makes durable what cycles stage."""
         self._effects = context.effects
         self._ownership = ownership
         self._store = store
         self._mesh = mesh
-        self._teams = teams
-        self._behind = behind
-        self._commit_soon = commit_soon
+        self._commit_queue = commit_queue
         self._report_s = context.workers.report_s
         self.selection = CandidateSelection(context, teams, job_index)
-        self._cycle_on = False
-        self._pause = self._report_s / 8
-        self._schedule()
+        self._planner = PlacementPlanner(store, teams, self.selection)
+        self._staging = AttemptStaging(teams, self.selection)
+        self._is_running = False
+        self._pause_s = self._report_s * SHORT_PAUSE_SHARE
+        self._schedule_next()
+
+    # -- pauses between cycles
 
-    def _schedule(self) -> None:
-        pause = self._pause * (0.75 + 0.5 * self._effects.rng.random())  # nodes must not inquire in step
-        self._effects.later(pause, self._run)
+    def _schedule_next(self) -> None:
+        jitter = 1.0 - PAUSE_JITTER + 2 * PAUSE_JITTER * self._effects.rng.random()
+        self._effects.later(self._pause_s * jitter, self._run)
 
     def wake(self) -> None:
         """Something may be placeable now: the next pauses are short."""
-        self._pause = self._report_s / 8
+        self._pause_s = self._report_s * SHORT_PAUSE_SHARE
+
+    def _lengthen_pause(self, max_share: float) -> None:
+        self._pause_s = min(self._report_s * max_share, self._pause_s * PAUSE_GROWTH)
+
+    # -- the phases of a cycle
 
     def _run(self) -> None:
-        if self._cycle_on:
+        if self._is_running:
             return
-        # While assignments wait for tokens, room reserved for more of them would expire before it is used, be
-        # reserved again, and the changes spent on it be lost.
-        able = self._store.is_served and not self._behind() and not self._ownership.lease_uncertain
-        candidates = self.selection.select(self._effects.now()) if able else []
-        zones = {
-            zone: owner for zone in self._ownership.zones() if (owner := self._ownership.owner(partition_key(zone)))
-        }
-        # Owners that do not answer would hold up each cycle; those that can be reached go on without them.
-        zones = {zone: owner for zone, owner in zones.items() if self._ownership.is_reachable(owner)} or zones
-        if not candidates or not zones:
-            self._pause = min(self._report_s / 4, self._pause * 1.5)
-            self._schedule()
+        candidates = self.selection.select(self._effects.now()) if self._may_place() else []
+        owners = self._partition_owners()
+        if not candidates or not owners:
+            self._lengthen_pause(MAX_IDLE_PAUSE_SHARE)
+            self._schedule_next()
             return
-        self._cycle_on = True
-        self._inquire(candidates, zones)
-
-    def _inquire(self, candidates: list[Candidate], zones: dict[str, str]) -> None:
-        """Ask the owner of each partition for its earliest room, by shape."""
-        requirements = list(dict.fromkeys(candidate.requirements for candidate in candidates))
-        left = set(zones)
-        answers: dict[str, wire.CapacityReply] = {}
+        self._is_running = True
+        self._inquire(candidates, owners)
 
-        def answered(zone: str, reply: Any) -> None:
-            left.discard(zone)
-            if isinstance(reply, wire.CapacityReply) and len(reply.capacities) == len(requirements):
-                answers[zone] = reply
-            if not left:
-                self._choose(candidates, requirements, zones, answers)
+    def _may_place(self) -> bool:
+        """Whether what is placed now can be made durable soon.
 
-        for zone, owner in zones.items():
-            self._mesh.call(
-                owner,
-                wire.CapacityInquiry(zone, requirements),
-                self._report_s / 2,
-                lambda reply, zone=zone: answered(zone, reply),  # type: ignore[misc]  # mypy can't infer defaults
-            )
+        While assignments wait for write tokens, capacity reserved for more of them would expire before it is used, be
+        reserved again, and the writes spent on it be lost.
+        """
+        return self._store.is_served and not self._commit_queue.is_backlogged and not self._ownership.lease_uncertain
 
-    def _choose(
-        self,
-        candidates: list[Candidate],
-        requirements: list[wire.TaskRequirements],
-        zones: dict[str, str],
-        answers: dict[str, wire.CapacityReply],
-    ) -> None:
-        now = self._effects.now()
-        position = {requirements: i for i, requirements in enumerate(requirements)}
-        groups: list[Group] = []
-        by_job: dict[str, Candidate] = {}
-        for candidate in candidates:
-            if candidate.job.spec is None or self._teams.get(candidate.team.name) is not candidate.team:
-                continue
-            rooms = {zone: reply.capacities[position[candidate.requirements]] for zone, reply in answers.items()}
-            by_job[candidate.job.id] = candidate
-            groups.append(self._group(candidate, rooms, now))
-        choices = self._affordable(plan_cycle(groups))
-        self._log(groups, by_job)
-        self._reserve(choices, by_job, zones, now)
+    def _partition_owners(self) -> dict[str, str]:
+        """The owners of the partitions, by zone.
 
-    def _group(self, candidate: Candidate, rooms: dict[str, wire.Capacity], now: float) -> Group:
-        """A candidate as min-min takes it, with what each partition has for it."""
-        spec = candidate.spec
-        partitions: dict[str, PartitionView] = {}
-        for zone, room in rooms.items():
-            feedback = candidate.team.factors.get(zone)
-            factor = feedback.factor if feedback else 0.0
-            partitions[zone] = PartitionView(room.cached, room.uncached, room.next_free_s, room.fetch_gb_per_s, factor)
-            if candidate.job.gang:  # in one partition, once all its room is free
-                whole = room.cached + room.uncached
-                partitions[zone].cached, partitions[zone].uncached = 0, whole if whole >= candidate.count else 0
-                partitions[zone].next_free_s = NEVER_S
-        limits = self.selection.zone_limits(candidate.job, spec, list(rooms))
-        if spec.single_zone and not candidate.job.zones():
-            # All of the job must go to one zone: the one with most room now.
-            best = max(rooms, key=lambda z: (partitions[z].cached + partitions[z].uncached, z), default=None)
-            limits |= {zone: 0 for zone in rooms if zone != best}
-        return Group(
-            candidate.job.id,
-            candidate.count,
-            candidate.rank,
-            spec.image_gb,
-            0.0 if spec.kind == JobKind.SERVICE else spec.estimated_run_s,  # free time alone
-            candidate.job.resources,
-            partitions,
-            candidate.starving,
-            self.selection.may_preempt(candidate, now) or self.selection.may_preempt_checkpointing(candidate),
-            limits,
-        )
-
-    @staticmethod
-    def _log(groups: list[Group], by_job: dict[str, Candidate]) -> None:
-        if not log.isEnabledFor(logging.DEBUG):
-            return
-        for group in groups:
-            left = {z: (v.cached, v.uncached, round(min(v.next_free_s, 999.0), 1)) for z, v in group.partitions.items()}
-            waits = by_job[group.job].count
-            log.debug(
-                "round: %s rank %s need %s waits %d of %d; left %s",
-                group.job,
-                group.rank,
-                group.resources,
-                group.count,
-                waits,
-                left,
-            )
+        Owners that do not answer would hold up each cycle; those that can be reached go on without them.
+        """
+        owners = {
+            zone: owner for zone in self._ownership.zones() if (owner := self._ownership.owner(partition_key(zone)))
+        }
+        reachable = {zone: owner for zone, owner in owners.items() if self._ownership.is_reachable(owner)}
+        return reachable or owners
 
-    def _affordable(self, choices: list[Choice]) -> list[Choice]:
-        """The first choices, of no more jobs than can be made durable soon: one change each."""
-        most = max(1, self._store.available_writes(CallPriority.ASSIGN))
-        jobs: set[str] = set()
-        for position, choice in enumerate(choices):
-            if not choice.holds_capacity:
-                jobs.add(choice.group.job)
-            if len(jobs) > most:
-                return choices[:position]
-        return choices
+    def _inquire(self, candidates: list[Candidate], owners: dict[str, str]) -> None:
+        """Ask the owner of each partition for its earliest capacity, by requirements."""
+        inquiry = Inquiry(candidates, owners)
+        self._call_zones(inquiry.owners, inquiry.requests(), inquiry.on_reply, lambda: self._plan(inquiry))
 
-    def _reserve(self, choices: list[Choice], by_job: dict[str, Candidate], zones: dict[str, str], now: float) -> None:
-        """Ask each partition's owner for the room that was chosen there."""
-        wants: dict[str, list[tuple[Candidate, int, Choice]]] = {}
-        for choice in choices:
-            candidate = by_job[choice.group.job]
-            if candidate.job.gang and choice.count < candidate.count:
-                continue
-            if choice.holds_capacity and not (choice.group.starving or choice.group.can_preempt):
-                continue
-            wants.setdefault(choice.zone, []).append((candidate, choice.count, choice))
-        if not wants:
+    def _plan(self, inquiry: Inquiry) -> None:
+        """All partitions have answered, or had the time for it: choose among what they have."""
+        now = self._effects.now()
+        by_zone: dict[str, list[PlannedReservation]] = {}
+        for planned in self._planner.plan(inquiry, now):
+            by_zone.setdefault(planned.zone, []).append(planned)
+        if by_zone:
+            self._reserve(ReservationPhase(by_zone, now), inquiry.owners)
+        else:
             self._end_cycle(0)
-            return
-        left = set(wants)
-        placed: list[int] = []
-
-        def answered(zone: str, reply: Any) -> None:
-            left.discard(zone)
-            if isinstance(reply, wire.ReserveReply) and len(reply.grants) == len(wants[zone]):
-                for (candidate, _count, _choice), slots in zip(wants[zone], reply.grants, strict=True):
-                    placed.append(self._stage(candidate, zone, reply.token, slots, now))
-            if not left:
-                self._end_cycle(sum(placed))
 
-        for zone, items in wants.items():
-            request = wire.ReserveRequest(zone, [self._want(*item) for item in items])
-            self._mesh.call(
-                zones[zone],
-                request,
-                self._report_s / 2,
-                lambda reply, zone=zone: answered(zone, reply),  # type: ignore[misc]  # mypy can't infer defaults
-            )
+    def _reserve(self, phase: ReservationPhase, owners: dict[str, str]) -> None:
+        """Ask each partition's owner for the capacity that was chosen there."""
+        requests: dict[str, wire.Body] = {
+            zone: wire.ReserveRequest(zone, [self._reservation_request(planned) for planned in reservations])
+            for zone, reservations in phase.by_zone.items()
+        }
+        self._call_zones(owners, requests, partial(self._stage, phase), lambda: self._end_cycle(phase.staged_count))
 
-    def _want(self, candidate: Candidate, count: int, choice: Choice) -> wire.ReservationRequest:
+    def _reservation_request(self, planned: PlannedReservation) -> wire.ReservationRequest:
+        candidate, holds_capacity = planned.candidate, planned.choice.holds_capacity
         return wire.ReservationRequest(
-            candidate.job.id,
-            candidate.team.name,
-            candidate.requirements,
-            count,
-            candidate.within_guarantee,
-            choice.holds_capacity and candidate.starving,
-            candidate.job.avoided_machines,
-            candidate.team.token,
-            choice.holds_capacity and self.selection.may_preempt(candidate, self._effects.now()),
-            candidate.overdue,
+            job=candidate.job.id,
+            team=candidate.team.name,
+            requirements=candidate.requirements,
+            count=planned.count,
+            within_guarantee=candidate.within_guarantee,
+            starving=holds_capacity and candidate.starving,
+            avoided_machines=candidate.job.avoided_machines,
+            team_token=candidate.team.token,
+            may_preempt=holds_capacity and self.selection.may_preempt(candidate, self._effects.now()),
+            non_preemptible=candidate.overdue,
         )
 
-    def _end_cycle(self, placed: int) -> None:
-        self._cycle_on = False
-        if placed:
+    def _stage(self, phase: ReservationPhase, zone: str, reply: wire.Body | None) -> None:
+        """Stage tasks on what a partition's owner granted, if it did and for every request."""
+        reservations = phase.by_zone[zone]
+        if isinstance(reply, wire.ReserveReply) and len(reply.grants) == len(reservations):
+            for planned, grants in zip(reservations, reply.grants, strict=True):
+                phase.staged_count += self._staging.stage(planned, reply.token, grants, phase.planned_at)
+
+    def _end_cycle(self, staged_count: int) -> None:
+        self._is_running = False
+        if staged_count:
             self.wake()
-            self._commit_soon()
+            self._commit_queue.schedule_commit()
         else:
-            self._pause = min(self._report_s / 2, self._pause * 1.5)
-        self._schedule()
+            self._lengthen_pause(MAX_FULL_PAUSE_SHARE)
+        self._schedule_next()
 
-    def _stage(
-        self, candidate: Candidate, zone: str, token: int, slots: list[wire.ReservationGrant], now: float
-    ) -> int:
-        """Stage tasks for the room that was given; they wait for the commit."""
-        team, job, spec = candidate.team, candidate.job, candidate.job.spec
-        if spec is None or self._teams.get(team.name) is not team or job.write_state is WriteState.UNCERTAIN:
-            return 0
-        # The world may have moved while the partition was asked: the limits are checked against what is so now.
-        most = len(slots)
-        for limit, which in ((team.limit, 0), (team.gpus_limit, 1)):
-            if limit > 0 and job.resources[which] > 0:
-                kept = 0.0 if candidate.overdue or candidate.borrows else team.reserved_for_overdue[which]
-                most = min(most, int((limit - team.allocated(which) - kept + ROUNDING) / job.resources[which]))
-        most = max(0, min(most, self.selection.zone_limits(job, spec, [zone]).get(zone, most)))
-        if job.gang and most < job.waiting_count():
-            return 0
-        indexes = job.take_waiting_tasks(max(0, min(most, len(slots))))
-        for position, (index, slot) in enumerate(zip(indexes, slots, strict=False)):
-            if not (job.gang and position):  # the tasks of a gang find one another by their attempt
-                job.last_attempt_number += 1
-            attempt = Attempt(index, job.last_attempt_number, slot.machine, slot.session, zone, token, now)
-            attempt.reservation_id = slot.reservation_id
-            attempt.estimate = PlacementEstimate(now, slot.fetch_s, spec.estimated_run_s)
-            job.staged[index] = attempt
-        return len(indexes)
+    def _call_zones(
+        self,
+        owners: dict[str, str],
+        requests: dict[str, wire.Body],
+        on_reply: Callable[[str, wire.Body | None], None],
+        on_complete: Callable[[], None],
+    ) -> None:
+        timeout_s = self._report_s * REPLY_TIMEOUT_SHARE
+        call_zones(self._mesh, owners, requests, timeout_s, on_reply, on_complete)
--- a/tealhook/scheduling/team_scheduler.py
+++ b/tealhook/scheduling/team_scheduler.py
@@ -58,8 +58,7 @@
             mesh,
             self.teams,
             job_index,
-            lambda: self.commits.is_backlogged,
-            self.commits.schedule_commit,
+            self.commits,
         )
         self.pipelines = DependencyTracker(context, store, job_index, self.teams)
         self._reconciliation = Reconciliation(context, ownership, mesh, self.teams, self.attempts)
--- a/tests/test_rounds.py
+++ b/tests/test_rounds.py
@@ -37,8 +37,8 @@
 def test_without_ageing_it_would_not(monkeypatch):
     whole = candidates.Candidate.__init__
 
-    def unaged(self, *args):
-        whole(self, *args[:5], False, False, args[7])
+    def unaged(self, team, job, spec, count, standing):
+        whole(self, team, job, spec, count, standing._replace(starving=False, overdue=False, borrows=False))
 
     monkeypatch.setattr(candidates.Candidate, "__init__", unaged)
     assert _flooded().started_at is None
