--- a/tealhook/placement/minmin.py
+++ b/tealhook/placement/minmin.py
@@ -52,14 +52,14 @@
 class Choice:
     """`count` tasks of a group for one partition.
 
-    `holds_capacity`: nothing can start there yet; capacity is reserved for them as it becomes free.
+    `awaits_capacity`: nothing can start there yet; capacity is reserved for them as it becomes free.
     """
 
     group: Group
     zone: str
     count: int
     finish_s: float
-    holds_capacity: bool = False
+    awaits_capacity: bool = False
 
 
 def estimate_finish_s(view: PartitionView, group: Group, free_s: float, fetch_s: float) -> float:
@@ -90,7 +90,7 @@
         return None
     fetch_s = group.image_gb / view.fetch_gb_per_s if not view.cached else 0.0
     finish_s = estimate_finish_s(view, group, view.next_free_s, fetch_s)
-    return Choice(group, zone, group.count, finish_s, holds_capacity=True)
+    return Choice(group, zone, group.count, finish_s, awaits_capacity=True)
 
 
 def _choose_partition(group: Group) -> Choice | None:
@@ -146,7 +146,7 @@
     group.count -= count
 
 
-def _apply_held(choice: Choice, groups: list[Group]) -> bool:
+def _apply_awaited(choice: Choice, groups: list[Group]) -> bool:
     """Count a choice of capacity that is not free yet; returns whether its group has nothing more to place.
 
     Nothing of this group can start where it would finish first: one task waits for the partition's next capacity, which
@@ -185,8 +185,8 @@
             if best is None:
                 break
             choices.append(best)
-            if best.holds_capacity:
-                exhausted = _apply_held(best, groups)
+            if best.awaits_capacity:
+                exhausted = _apply_awaited(best, groups)
             else:
                 _apply(best, groups)
                 exhausted = best.group.count <= 0
--- a/tealhook/scheduling/candidates.py
+++ b/tealhook/scheduling/candidates.py
@@ -200,7 +200,7 @@
         An overdue job may find no capacity for minutes. What is reserved for it lies idle, and its team's other tasks
         keep the rest of the limit taken: a job of low rank that had begun got nothing, though small machines had
         capacity for it. So one of which no task has been assigned for long borrows, if that comes back soon: lent to
-        long tasks, it kept the overdue job from its capacity for a minute more.
+        long tasks, it delayed the overdue job by another minute.
         """
         stalled = now - max(job.schedulable_since, job.last_assigned_at) > starving_age_s and not job.staged
         return stalled and spec.estimated_run_s <= BORROW_SHARE * starving_age_s
--- a/tealhook/scheduling/commit_outcomes.py
+++ b/tealhook/scheduling/commit_outcomes.py
@@ -135,7 +135,7 @@
         self._start_read_back(write)
 
     def apply_not_executed(self, write: JobWrite, failed_keys: list[str]) -> None:
-        """A write is certainly not executed. A conflict of one job must not hold up the others for ever."""
+        """A write is certainly not executed. A conflict of one job must not delay the others for ever."""
         team_state, job = write.team_state, write.job
         now = self._effects.now()
         job.dirty_chunks |= write.written_chunks
@@ -161,7 +161,7 @@
     def back_off(self, job: Job) -> None:
         """A job's write was rejected though it was alone in its transaction: by limits that we don't know.
 
-        It is written smaller, and then less and less often: it must not hold up others.
+        It is written smaller, and then less and less often: it must not delay others.
         """
         now = self._effects.now()
         job.rejections += 1
--- a/tealhook/scheduling/commits.py
+++ b/tealhook/scheduling/commits.py
@@ -123,12 +123,12 @@
     def _by_importance(pending: list[PendingJob]) -> list[PendingJob]:
         """Jobs above standard priority first; then finished ones, and those with most tasks done."""
         ordered = sorted(pending, key=lambda item: (not item.job.finished, -item.job.done_count))
-        urgent: list[PendingJob] = []
+        prioritized: list[PendingJob] = []
         others: list[PendingJob] = []
         for item in ordered:
-            is_urgent = item.job.spec is not None and item.job.priority > STANDARD_RANK
-            (urgent if is_urgent else others).append(item)
-        return urgent + others
+            above_standard = item.job.spec is not None and item.job.priority > STANDARD_RANK
+            (prioritized if above_standard else others).append(item)
+        return prioritized + others
 
     def _send(self, pending: list[PendingJob], priority: CallPriority) -> None:
         """Send one transaction with as many of the jobs as it has capacity for, or wait for write tokens."""
--- a/tealhook/scheduling/cycle.py
+++ b/tealhook/scheduling/cycle.py
@@ -102,7 +102,7 @@
     def _partition_owners(self) -> dict[str, str]:
         """The owners of the partitions, by zone.
 
-        Owners that do not answer would hold up each cycle; those that can be reached go on without them.
+        Owners that do not answer would delay each cycle; those that can be reached go on without them.
         """
         owners = {
             zone: owner for zone in self._ownership.zones() if (owner := self._ownership.owner(partition_key(zone)))
@@ -135,17 +135,17 @@
         self._call_zones(owners, requests, partial(self._stage, phase), lambda: self._end_cycle(phase.staged_count))
 
     def _reservation_request(self, planned: PlannedReservation) -> wire.ReservationRequest:
-        candidate, holds_capacity = planned.candidate, planned.choice.holds_capacity
+        candidate, awaits_capacity = planned.candidate, planned.choice.awaits_capacity
         return wire.ReservationRequest(
             job=candidate.job.id,
             team=candidate.team.name,
             requirements=candidate.requirements,
             count=planned.count,
             within_guarantee=candidate.within_guarantee,
-            starving=holds_capacity and candidate.starving,
+            starving=awaits_capacity and candidate.starving,
             avoided_machines=candidate.job.avoided_machines,
             team_token=candidate.team.token,
-            may_preempt=holds_capacity and self.selection.may_preempt(candidate, self._effects.now()),
+            may_preempt=awaits_capacity and self.selection.may_preempt(candidate, self._effects.now()),
             non_preemptible=candidate.overdue,
         )
 
--- a/tealhook/scheduling/interfaces.py
+++ b/tealhook/scheduling/interfaces.py
@@ -1,4 +1,4 @@
-"""What the parts of the team scheduler know of one another."""
+"""Interfaces between the components of the team scheduler."""
 
 from __future__ import annotations
 
--- a/tealhook/scheduling/planning.py
+++ b/tealhook/scheduling/planning.py
@@ -127,7 +127,7 @@
         max_jobs = max(1, self._store.available_writes(CallPriority.ASSIGN))
         jobs: set[str] = set()
         for position, choice in enumerate(choices):
-            if not choice.holds_capacity:
+            if not choice.awaits_capacity:
                 jobs.add(choice.group.job)
             if len(jobs) > max_jobs:
                 return choices[:position]
@@ -143,7 +143,7 @@
         choice = reservation.choice
         if reservation.candidate.job.gang and choice.count < reservation.candidate.count:
             return False
-        return not choice.holds_capacity or choice.group.starving or choice.group.can_preempt
+        return not choice.awaits_capacity or choice.group.starving or choice.group.can_preempt
 
     @staticmethod
     def _log_groups(groups: list[Group], by_job: dict[str, Candidate]) -> None:
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -46,7 +46,7 @@
     groups = [group(job, 4, {"x": view(next_s=0.5, factor=-0.5), "y": view(uncached=20)}) for job in ("a", "b", "c")]
     choices = plan_cycle(groups)
     assert sum(c.count for c in choices if c.zone == "y") == 11
-    assert [(c.zone, c.count) for c in choices if c.holds_capacity] == [("x", 1)]
+    assert [(c.zone, c.count) for c in choices if c.awaits_capacity] == [("x", 1)]
 
 
 def test_a_part_that_disappoints_is_passed_over():
@@ -60,7 +60,7 @@
     long = group("long", 2, {"x": view(uncached=4)}, run_s=50.0, rank=(0,))
     short = group("short", 1, {"x": view(uncached=4)}, run_s=5.0, rank=(0,))
     choices = plan_cycle([late, long, short])
-    assert [(c.group.job, c.count, c.holds_capacity) for c in choices] == [
+    assert [(c.group.job, c.count, c.awaits_capacity) for c in choices] == [
         ("short", 1, False),
         ("long", 2, False),
         ("late", 1, False),
@@ -85,7 +85,7 @@
         allowed = {g.job: dict(g.zone_limits) for g in groups}
         given = dict.fromkeys(room, 0)
         for choice in plan_cycle(groups):
-            if not choice.holds_capacity:
+            if not choice.awaits_capacity:
                 given[choice.zone] += choice.count
                 if choice.zone in allowed[choice.group.job]:
                     allowed[choice.group.job][choice.zone] -= choice.count
@@ -109,13 +109,13 @@
     """Guards against a job's last task that waited for one part's room, always about to be free, beside free room."""
     soon, later = view(next_s=0.5), view(uncached=3, factor=0.9)
     [choice] = plan_cycle([group("a", 1, {"x": soon, "y": later}, **{kind: True})])
-    assert (choice.zone, choice.holds_capacity) == ("y", False)
+    assert (choice.zone, choice.awaits_capacity) == ("y", False)
     assert [
-        (c.zone, c.holds_capacity) for c in plan_cycle([group("a", 1, {"x": view(next_s=0.5)}, **{kind: True})])
+        (c.zone, c.awaits_capacity) for c in plan_cycle([group("a", 1, {"x": view(next_s=0.5)}, **{kind: True})])
     ] == [("x", True)]
 
 
 def test_others_wait_for_the_part_with_the_earliest_finish():
     soon, later = view(next_s=0.5), view(uncached=3, factor=0.9)
     [choice] = plan_cycle([group("a", 1, {"x": soon, "y": later})])
-    assert (choice.zone, choice.holds_capacity) == ("x", True)
+    assert (choice.zone, choice.awaits_capacity) == ("x", True)
