--- a/tealhook/scheduling/attempts.py
+++ b/tealhook/scheduling/attempts.py
@@ -156,7 +156,7 @@
 
     def _learn_feedback(self, team_state: TeamState, zone: str, estimate: PlacementEstimate, now: float) -> None:
         factor = team_state.factors.setdefault(zone, Feedback(now))
-        factor.finish(estimate, now, self._policy.value("feedback"))
+        factor.record_finish(estimate, now, self._policy.value("feedback"))
 
     # -- observed tasks that no recorded attempt matches
 
--- a/tealhook/scheduling/team_scheduler.py
+++ b/tealhook/scheduling/team_scheduler.py
@@ -64,8 +64,7 @@
             mesh,
             self.teams,
             job_index,
-            lambda: self.commits.is_backlogged,
-            self.commits.schedule_commit,
+            self.commits,
         )
         self._attempt_index = AttemptIndex()
         self._stop_commands = StopCommands(ownership, mesh)
@@ -218,7 +217,7 @@
             waiting = any(job.waiting_count() > 0 for job in team_state.jobs.values())
             if not waiting:
                 for factor in team_state.factors.values():
-                    factor.idle(now, self._workers.lease_s)
+                    factor.decay(now, self._workers.lease_s)
         self.commits.schedule_commit()
 
     # -- sums for gossip
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -6,7 +6,7 @@
 
 from tealhook.loop import TokenBucket
 from tealhook.placement import Feedback, Group, PartitionView, PlacementEstimate, plan_cycle
-from tealhook.placement.minmin import finish
+from tealhook.placement.minmin import estimate_finish_s
 
 
 def view(cached=0, uncached=0, next_s=1e9, rate=1.0, factor=0.0):
@@ -20,20 +20,20 @@
 def test_feedback_follows_the_papers_equation():
     factor = Feedback(0.0)
     placed = PlacementEstimate(free_at=100.0, fetch_s=2.0, run_s=8.0)
-    factor.finish(placed, 115.0, 0.8)  # actual 15 against 10
+    factor.record_finish(placed, 115.0, 0.8)  # actual 15 against 10
     assert factor.factor == pytest.approx(0.8 * (15 - 10) / 10)
-    factor.finish(placed, 200.0, 0.8)
+    factor.record_finish(placed, 200.0, 0.8)
     assert factor.factor == 1.0  # capped
-    factor.idle(205.0, 10.0)
+    factor.decay(205.0, 10.0)
     assert factor.factor == pytest.approx(0.5)
-    factor.idle(300.0, 10.0)
+    factor.decay(300.0, 10.0)
     assert factor.factor == 0.0
     assert PlacementEstimate(0.0, 0.0, 0.1).estimate == 1.0  # floored at one second
 
 
 def test_finish_counts_free_time_fetch_run_and_factor():
     g = group("a", 1, {})
-    assert finish(view(factor=0.5), g, 3.0, 2.0) == pytest.approx(3.0 + 1.5 * 12.0)
+    assert estimate_finish_s(view(factor=0.5), g, 3.0, 2.0) == pytest.approx(3.0 + 1.5 * 12.0)
 
 
 def test_cached_part_wins_until_it_is_full():
@@ -46,7 +46,7 @@
     groups = [group(job, 4, {"x": view(next_s=0.5, factor=-0.5), "y": view(uncached=20)}) for job in ("a", "b", "c")]
     choices = plan_cycle(groups)
     assert sum(c.count for c in choices if c.zone == "y") == 11
-    assert [(c.zone, c.count) for c in choices if c.holds_capacity] == [("x", 1)]
+    assert [(c.zone, c.count) for c in choices if c.awaits_capacity] == [("x", 1)]
 
 
 def test_a_part_that_disappoints_is_passed_over():
@@ -60,7 +60,7 @@
     long = group("long", 2, {"x": view(uncached=4)}, run_s=50.0, rank=(0,))
     short = group("short", 1, {"x": view(uncached=4)}, run_s=5.0, rank=(0,))
     choices = plan_cycle([late, long, short])
-    assert [(c.group.job, c.count, c.holds_capacity) for c in choices] == [
+    assert [(c.group.job, c.count, c.awaits_capacity) for c in choices] == [
         ("short", 1, False),
         ("long", 2, False),
         ("late", 1, False),
@@ -85,7 +85,7 @@
         allowed = {g.job: dict(g.zone_limits) for g in groups}
         given = dict.fromkeys(room, 0)
         for choice in plan_cycle(groups):
-            if not choice.holds_capacity:
+            if not choice.awaits_capacity:
                 given[choice.zone] += choice.count
                 if choice.zone in allowed[choice.group.job]:
                     allowed[choice.group.job][choice.zone] -= choice.count
@@ -109,13 +109,13 @@
     """Guards against a job's last task that waited for one part's room, always about to be free, beside free room."""
     soon, later = view(next_s=0.5), view(uncached=3, factor=0.9)
     [choice] = plan_cycle([group("a", 1, {"x": soon, "y": later}, **{kind: True})])
-    assert (choice.zone, choice.holds_capacity) == ("y", False)
+    assert (choice.zone, choice.awaits_capacity) == ("y", False)
     assert [
-        (c.zone, c.holds_capacity) for c in plan_cycle([group("a", 1, {"x": view(next_s=0.5)}, **{kind: True})])
+        (c.zone, c.awaits_capacity) for c in plan_cycle([group("a", 1, {"x": view(next_s=0.5)}, **{kind: True})])
     ] == [("x", True)]
 
 
 def test_others_wait_for_the_part_with_the_earliest_finish():
     soon, later = view(next_s=0.5), view(uncached=3, factor=0.9)
     [choice] = plan_cycle([group("a", 1, {"x": soon, "y": later})])
-    assert (choice.zone, choice.holds_capacity) == ("x", True)
+    assert (choice.zone, choice.awaits_capacity) == ("x", True)
