--- a/tealhook/partitions/capacity_holds.py
+++ b/tealhook/partitions/capacity_holds.py
@@ -7,7 +7,7 @@
 from tealhook.wire import mesh
 from tealhook.wire.common import Resources
 
-HOLD_PERIODS = 2  # heartbeat periods; a starving job whose team's scheduler asks no more is soon forgotten
+HOLD_PERIODS = 2  # heartbeat periods; the hold of a job that is not requested any more ends soon
 
 
 class CapacityHolds:
--- a/tealhook/partitions/commands.py
+++ b/tealhook/partitions/commands.py
@@ -65,7 +65,7 @@
         return commands[:MAX_COMMANDS]
 
     def _add_starts(self, machine: Machine, machine_type: MachineType, commands: list[wire.Command]) -> None:
-        """Start what fits beside the tasks that are still there, whatever was reserved."""
+        """Start what fits beside the tasks that are still on the machine, whatever was reserved."""
         free: Resources | None = None
         for reservation in machine.list_reservations():
             if not reservation.launching or len(commands) >= MAX_COMMANDS:
@@ -83,7 +83,7 @@
                 commands.append(wire.Command(wire.CommandAction.START, reservation.task, reservation.attempt))
 
     def _free_beside_tasks(self, machine: Machine, machine_type: MachineType) -> Resources:
-        """What is free besides the tasks on a machine that won't exit as soon as they are told to."""
+        """What is free besides the tasks on a machine that won't exit at once when they are stopped."""
         free = machine_type.resources
         for key, task in machine.tasks.items():
             if task.alive and not (
