--- a/tealhook/scheduling/read_back.py
+++ b/tealhook/scheduling/read_back.py
@@ -96,9 +96,8 @@
             job_id, chunk = parse_assignment_key(row.key, team_state.name)
             if job_id == job.id:  # the key is a prefix of other jobs' keys too
                 rows_by_chunk.append((chunk, row))
-        job.forget_chunks_except(
-            {chunk for chunk, row in rows_by_chunk if row.mod_revision == known_revisions.get(chunk)}
-        )
+        unchanged = {chunk for chunk, row in rows_by_chunk if row.mod_revision == known_revisions.get(chunk)}
+        job.forget_chunks_except(unchanged)
         for chunk, row in rows_by_chunk:
             if chunk in unchanged:
                 job.chunk_revisions[chunk] = row.mod_revision
