--- a/tests/pipelines.py
+++ b/tests/dependency_graphs.py
@@ -4,7 +4,7 @@
 
 from typing import Any
 
-from tests.users import PLAIN
+from tests.user_requests import PLAIN
 
 STEP_S = 0.25  # so often the user of a pipeline looks whether the next job may be submitted
 
--- a/tests/pipeline_steps.py
+++ b/tests/dependency_steps.py
@@ -4,9 +4,9 @@
 
 from collections.abc import Callable
 
-from tests.troubles import until_done
-from tests.users import PLAIN
-from tests.world import World
+from tests.infrastructure_faults import until_done
+from tests.simulated_cluster import World
+from tests.user_requests import PLAIN
 
 SEEDS = range(3)
 TEAMS = ("team-0", "team-1", "team-2")
--- a/tests/troubles.py
+++ b/tests/infrastructure_faults.py
@@ -4,9 +4,9 @@
 
 from collections.abc import Callable
 
-from tests.simulation.troubles import for_span, hang, up
+from tests.simulated_cluster import World, calm, trouble
+from tests.simulation.faults import for_span, hang, up
 from tests.standins import Worker
-from tests.world import World, calm, trouble
 
 KINDS = {
     "fleet": "own/fleet",
--- a/tests/operations.py
+++ b/tests/operational_faults.py
@@ -5,10 +5,10 @@
 from collections.abc import Callable
 from itertools import combinations
 
-from tests.simulation.troubles import for_span, trouble
-from tests.troubles import KINDS, all_calm, net_trouble, owner, until_done
-from tests.users import ALIKE
-from tests.world import World
+from tests.infrastructure_faults import KINDS, all_calm, net_trouble, owner, until_done
+from tests.simulated_cluster import World
+from tests.simulation.faults import for_span, trouble
+from tests.user_requests import ALIKE
 
 SIDES = ("state", "peers", "workers", "users")
 GUEST = "team-2"
--- a/tests/world.py
+++ b/tests/simulated_cluster.py
@@ -13,13 +13,13 @@
 
 from tealhook.settings import Policy
 from tests.simulation.effects import SimEffects, Timer
+from tests.simulation.faults import calm, trouble
 from tests.simulation.jobs import SimJob, Users
 from tests.simulation.network import Network, make_request
 from tests.simulation.rules import BrokenRuleError, Rules
 from tests.simulation.settings import RIGS, settings_text
-from tests.simulation.troubles import calm, trouble
 from tests.standins import Cloud, StateService
-from tests.users import Finished
+from tests.user_requests import Finished
 from tests.versions import Version, present, production
 
 __all__ = [
--- a/tests/simulation/__init__.py
+++ b/tests/simulation/__init__.py
@@ -1,1 +1,1 @@
-"""What a whole deployment in virtual time is composed of; `tests.world` puts it together."""
+"""What a whole deployment in virtual time is composed of; `tests.simulated_cluster` puts it together."""
--- a/tests/simulation/effects.py
+++ b/tests/simulation/effects.py
@@ -7,7 +7,7 @@
 from typing import TYPE_CHECKING
 
 if TYPE_CHECKING:
-    from tests.world import World
+    from tests.simulated_cluster import World
 
 
 class Timer:
--- a/tests/simulation/troubles.py
+++ b/tests/simulation/faults.py
@@ -5,11 +5,11 @@
 from collections.abc import Iterable
 from typing import TYPE_CHECKING
 
-from tests import users
+from tests import user_requests
 from tests.standins import Worker
 
 if TYPE_CHECKING:
-    from tests.world import World
+    from tests.simulated_cluster import World
 
 
 def up(world: World) -> list[Worker]:
@@ -139,13 +139,13 @@
 
     def cancel_now(self) -> None:
         count = self.rng.randint(1, 6)
-        users.cancel_now(self.world, count, self.rng.choice([0.0, self.rng.uniform(1.0, 8.0), self.span]))
+        user_requests.cancel_now(self.world, count, self.rng.choice([0.0, self.rng.uniform(1.0, 8.0), self.span]))
 
     def odd_requests(self) -> None:
-        users.odd_requests(self.world, 20, self.span)
+        user_requests.odd_requests(self.world, 20, self.span)
 
     def stream(self) -> None:
-        users.stream(self.world, min(self.span, 8.0))
+        user_requests.stream(self.world, min(self.span, 8.0))
 
     # The order decides what a seed draws.
     ALL = (
--- a/tests/simulation/jobs.py
+++ b/tests/simulation/jobs.py
@@ -6,11 +6,11 @@
 from collections.abc import Callable
 from typing import TYPE_CHECKING, Any
 
-from tests import pipelines, users
+from tests import dependency_graphs, user_requests
 from tests.simulation.rules import BrokenRuleError
 
 if TYPE_CHECKING:
-    from tests.world import World
+    from tests.simulated_cluster import World
 
 
 class SimJob:
@@ -203,7 +203,7 @@
         if job.final is not None and status != job.final and (asked >= job.final_at or status in ("done", "cancelled")):
             raise BrokenRuleError(f"went_back: {job_id} was {job.final}, now {status}")
         job.accepted, job.accepted_at = True, min(job.accepted_at, self.world.now)
-        pipelines.check_told(self.world, job, status)
+        dependency_graphs.check_told(self.world, job, status)
         if status == "done":
             left = [name for name in job.tasks() if name not in self.world.finished]
             if left:
@@ -221,7 +221,7 @@
             if self.world.rng.random() < self.world.looks:
                 self.world.happened[f"close look: {occasion}"] += 1
                 cancel = occasion != "cancelled" and self.world.rng.random() < 0.3
-                users.look_closely(self.world, job.spec["name_id"], cancel)
+                user_requests.look_closely(self.world, job.spec["name_id"], cancel)
 
     def task_ended(self, name: str) -> None:
         """A task has completed; nobody may know so yet."""
--- a/tests/simulation/network.py
+++ b/tests/simulation/network.py
@@ -6,12 +6,12 @@
 from collections.abc import Callable
 from typing import TYPE_CHECKING, Any
 
-from tests.simulation.reports import LateReports
+from tests.simulation.late_heartbeats import LateReports
 from tests.simulation.requests import make_request
 from tests.simulation.state_link import StateLink
 
 if TYPE_CHECKING:
-    from tests.world import World
+    from tests.simulated_cluster import World
 
 
 class Network:
--- a/tests/simulation/rules.py
+++ b/tests/simulation/rules.py
@@ -5,13 +5,13 @@
 from collections import deque
 from typing import TYPE_CHECKING
 
-from tests import pipelines
+from tests import dependency_graphs
 from tests.versions import active_jobs, owned_partitions
 
 if TYPE_CHECKING:
+    from tests.simulated_cluster import World
     from tests.simulation.jobs import SimJob
     from tests.standins import Worker
-    from tests.world import World
 
 CALM_ANSWER_S = 75.0  # once all troubles are over, some question about each accepted job is answered in that time
 ANSWER_TIMEOUT_S = 90.0  # and in troubles in that time, if most others' are
@@ -43,7 +43,7 @@
         job = self.world.jobs[job_id]
         self._check_late(machine, key, job)
         job.moved_at = self.world.now
-        pipelines.check_start(self.world, key[0], job)
+        dependency_graphs.check_start(self.world, key[0], job)
         if job.started_at is None:
             job.started_at = self.world.now
         spec = job.spec
@@ -119,7 +119,7 @@
                 used[job.spec["crew"]] = used.get(job.spec["crew"], 0.0) + job.spec["vcpus"]
                 if job.cancelled_at is not None and self.world.now > job.cancelled_at + params.workers.cancel_s:
                     raise BrokenRuleError(f"ran_cancelled: {play} on {machine.name}")
-                if pipelines.orphaned(self.world, job):
+                if dependency_graphs.orphaned(self.world, job):
                     raise BrokenRuleError(f"orphaned: {play} on {machine.name}")
         for team, cpus in used.items():
             if cpus > params.teams[0].cpus_max + 1e-6:
@@ -160,7 +160,7 @@
         for job_id, job in self.world.jobs.items():
             if not job.accepted or job.final is not None or job.cancel_wanted or job.wrong:
                 continue
-            if pipelines.held(self.world, job):
+            if dependency_graphs.held(self.world, job):
                 job.moved_at = self.world.now
                 continue
             zones = held.get(job_id, {})
--- a/tests/test_cancellations.py
+++ b/tests/test_cancellations.py
@@ -4,8 +4,8 @@
 
 from tealhook.coordination import partition_key
 from tealhook.scheduling.reconciliation import Reconciliation
-from tests.users import ALIKE
-from tests.world import Broken, World
+from tests.simulated_cluster import Broken, World
+from tests.user_requests import ALIKE
 
 
 def _hung_while_owners_change(seed: int) -> tuple[World, int]:
--- a/tests/test_user.py
+++ b/tests/test_cli_client.py
@@ -6,7 +6,7 @@
 from tealhook.cli import main
 from tealhook.http import HttpServer
 from tealhook.loop import Loop
-from tests.world import World, make_request
+from tests.simulated_cluster import World, make_request
 
 
 def test_submit_comes_back_when_told_to_and_show_and_cancel_answer(tmp_path, capsys):
--- a/tests/test_meetings_net.py
+++ b/tests/test_combined_faults_network.py
@@ -6,9 +6,7 @@
 import pytest
 
 from tealhook.partitions.partition import Partition
-from tests.standins import Worker
-from tests.test_guards import _break_proof, _guess_commits, _no_limit
-from tests.troubles import (
+from tests.infrastructure_faults import (
     KINDS,
     all_calm,
     change_leaders,
@@ -21,8 +19,10 @@
     until_done,
     up,
 )
-from tests.users import ALIKE
-from tests.world import Broken, World
+from tests.simulated_cluster import Broken, World
+from tests.standins import Worker
+from tests.test_guards import _break_proof, _guess_commits, _no_limit
+from tests.user_requests import ALIKE
 
 LEASE_S, CANCEL_S = 9.0, 30.0
 SEEDS = [1, 2]
--- a/tests/test_meetings_runs.py
+++ b/tests/test_combined_faults_runs.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from tests.troubles import mixed_run
+from tests.infrastructure_faults import mixed_run
 
 # Troubles of which each must have happened in some run; the directed tests assert them one by one.
 MUST = [
--- a/tests/test_meetings_view.py
+++ b/tests/test_combined_faults_stale_view.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from tests.world import World
+from tests.simulated_cluster import World
 
 ALIKE = {
     "plain": True,
--- a/tests/test_meetings_users.py
+++ b/tests/test_combined_faults_users.py
@@ -11,11 +11,11 @@
 from tealhook.fleet import FleetManager
 from tealhook.scheduling.candidates import CandidateSelection
 from tealhook.scheduling.team_scheduler import TeamState
-from tests import users
+from tests import user_requests
+from tests.simulated_cluster import Broken, World
 from tests.standins import Worker
 from tests.test_guards import _answer_from_memory, _no_places
-from tests.users import PLAIN
-from tests.world import Broken, World
+from tests.user_requests import PLAIN
 
 SEEDS = range(3)
 
@@ -106,7 +106,7 @@
     world = World(seed, wps=30.0, limit=48.0)
     world.cloud.room = 4
     world.run(20.0)
-    ids = users.stream(world, 120.0)
+    ids = user_requests.stream(world, 120.0)
     world.run(150.0)
     _all_end(world)
     assert len(ids) == world.happened["job of a stream"] == 480
@@ -177,7 +177,7 @@
             spec = world.jobs[name.rpartition("/")[0]].spec
             used[spec["crew"]] += spec["vcpus"]
     assert all(16.0 - 2.0 < cpus <= 16.0 for cpus in used.values())  # no more of their tasks fits, in any team
-    chosen = users.cancel_now(world, 4, hang_s=0.0 if cut else 25.0, to_go=10.0)
+    chosen = user_requests.cancel_now(world, 4, hang_s=0.0 if cut else 25.0, to_go=10.0)
     assert len(chosen) == 4
     if cut:
         for machine in world.cloud.machines.values():
@@ -228,7 +228,7 @@
     for _ in range(8):
         world.submit(plays=3, vcpus=2.0, expected_s=120.0, **PLAIN)
     world.run(25.0)
-    hung = users.cancel_now(world, 3, hang_s=50.0, to_go=20.0)
+    hung = user_requests.cancel_now(world, 3, hang_s=50.0, to_go=20.0)
     assert len(hung) == 3
     world.run(70.0)
     return world
@@ -315,7 +315,7 @@
     world.run(45.0)
     waits = sum(job.started_at is None for job in world.jobs.values())
     world.happened["jobs that wait"] = waits
-    users.cancel_now(world, 5, to_go=1.0)
+    user_requests.cancel_now(world, 5, to_go=1.0)
     for _ in range(40):
         if world.unfinished():
             world.run(10.0)
@@ -416,7 +416,7 @@
     world.run(15.0)
     for i in range(8):
         world.at(2.0 * i, lambda: world.submit(plays=2, vcpus=1.0, expected_s=6.0, **PLAIN))
-    world.at(5.0, lambda: users.odd_requests(world, 150, 40.0))
+    world.at(5.0, lambda: user_requests.odd_requests(world, 150, 40.0))
     world.run(80.0)
     _all_end(world)
     for name in (
@@ -523,13 +523,13 @@
 def test_a_job_accepted_though_it_cannot_run_and_ids_made_up_are_found_out(monkeypatch):
     world, _job = _alone()
     monkeypatch.setattr(Admission, "_why_never", lambda self, spec: None)
-    users.odd_job(world, fits_none=True)
+    user_requests.odd_job(world, fits_none=True)
     with pytest.raises(Broken, match="accepted_wrong"):
         world.run(5.0)
     monkeypatch.undo()
     world, _job = _alone()
     monkeypatch.setattr(Admission, "answer_poll", lambda self, job, reply: reply(200, self._status_body(job, "done")))
     for _ in range(8):
-        users.ask_unknown(world, "req-999999")
+        user_requests.ask_unknown(world, "req-999999")
     with pytest.raises(Broken, match="invented"):
         world.run(5.0)
--- a/tests/test_hearing.py
+++ b/tests/test_command_loss.py
@@ -6,8 +6,8 @@
 from tealhook.coordination import Ownership
 from tealhook.partitions.manager import PartitionManager
 from tealhook.partitions.partition import Partition
-from tests.users import PLAIN
-from tests.world import Broken, World, make_request
+from tests.simulated_cluster import Broken, World, make_request
+from tests.user_requests import PLAIN
 
 
 def _busy(seed: int, jobs: int = 30, **over) -> World:
--- a/tests/test_waits_on.py
+++ b/tests/test_dependencies.py
@@ -4,8 +4,8 @@
 
 import pytest
 
-from tests.users import ALIKE
-from tests.world import World, make_request
+from tests.simulated_cluster import World, make_request
+from tests.user_requests import ALIKE
 
 
 def _chain(world: World, length: int, expected_s: float = 5.0) -> list[str]:
--- a/tests/test_pipelines_cancelled.py
+++ b/tests/test_dependency_cancellation.py
@@ -6,8 +6,8 @@
 
 from tealhook.admission.admission import Admission
 from tealhook.jobs.job import Job
-from tests import pipelines, users
-from tests.pipeline_steps import (
+from tests import dependency_graphs, user_requests
+from tests.dependency_steps import (
     LONG,
     QUICK,
     SEEDS,
@@ -28,8 +28,8 @@
     submit,
     team_elsewhere,
 )
-from tests.users import PLAIN
-from tests.world import Broken, World
+from tests.simulated_cluster import Broken, World
+from tests.user_requests import PLAIN
 
 # -- cancellations
 
@@ -79,7 +79,7 @@
     world.cancel(first, home_of(world, "team-0"))
     run_until(world, lambda: world.jobs[first].final is not None)
     world.state.outage(True)
-    assert world.jobs[first].final == "cancelled" and pipelines.status_on_record(world, after[0]) == "active"
+    assert world.jobs[first].final == "cancelled" and dependency_graphs.status_on_record(world, after[0]) == "active"
     ask_all(world, after, down_s)
     world.run(down_s)
     world.state.outage(False)
@@ -96,7 +96,7 @@
     first, after = graph(world, (other,))
     world.cancel(first, next(name for name in world.names if name != home_of(world, other)))
     run_until(world, lambda: world.jobs[first].final is not None)
-    assert pipelines.status_on_record(world, after[-1]) == "active"
+    assert dependency_graphs.status_on_record(world, after[-1]) == "active"
     world.crash(home_of(world, other), back_s)
     ask_all(world, after, 60.0)
     all_cancelled(world, after)
@@ -140,7 +140,7 @@
     world.cancel(first)
     for i in range(80):
         for job_id in after:
-            world.at(0.05 * i, lambda job_id=job_id: users.look_closely(world, job_id))
+            world.at(0.05 * i, lambda job_id=job_id: user_requests.look_closely(world, job_id))
     world.run(5.0)
     all_cancelled(world, after)
     assert {job_id for job_id, status in told if status == "cancelled"} >= set(after)
@@ -240,7 +240,7 @@
     first, after = graph(world)
     hear_late(world, 60.0)
     cancelled(world, first)
-    assert pipelines.status_on_record(world, after[0]) == "active"
+    assert dependency_graphs.status_on_record(world, after[0]) == "active"
     ask_all(world, after, 50.0)
     world.run(50.0)
     return world
--- a/tests/test_pipelines_names.py
+++ b/tests/test_dependency_references.py
@@ -8,8 +8,8 @@
 import pytest
 
 from tealhook.jobs import index
-from tests import pipelines
-from tests.pipeline_steps import (
+from tests import dependency_graphs
+from tests.dependency_steps import (
     LONG,
     QUICK,
     TEAMS,
@@ -24,10 +24,10 @@
     settled,
     submit,
 )
+from tests.simulated_cluster import World, make_request
 from tests.simulation.requests import reads_jobs
-from tests.test_bad_input import FIELDS, Desk, assert_judged, text
-from tests.users import PLAIN
-from tests.world import World, make_request
+from tests.test_submission_validation import FIELDS, Desk, assert_judged, text
+from tests.user_requests import PLAIN
 
 # -- names
 
@@ -238,7 +238,7 @@
             status, answer, _after, _took = desk.ask("POST", "/work", body, node)
             assert (status, answer["name_id"], answer["status"]) == (200, held, "pending"), names
     world.run(20.0)
-    assert pipelines.held(world, world.jobs[held]) and world.jobs[held].started_at is None
+    assert dependency_graphs.held(world, world.jobs[held]) and world.jobs[held].started_at is None
     end_in(world, first, 1.0)
     all_over(world)
     status, answer, _after, _took = desk.ask("POST", "/work", json.dumps(spec | {"waits_on": ["req-x"]}).encode())
--- a/tests/test_pipelines_runs.py
+++ b/tests/test_dependency_runs.py
@@ -8,9 +8,9 @@
 
 import pytest
 
-from tests import pipelines
-from tests.troubles import all_calm, net_trouble, until_done
-from tests.world import Broken, World, trouble
+from tests import dependency_graphs
+from tests.infrastructure_faults import all_calm, net_trouble, until_done
+from tests.simulated_cluster import Broken, World, trouble
 
 SEEDS = range(8)
 
@@ -22,7 +22,7 @@
     for _ in range(jobs):
         world.at(rng.uniform(0.0, seconds * 0.7), world.submit)
     for _ in range(drawn):
-        world.at(rng.uniform(5.0, seconds * 0.6), lambda: pipelines.draw(world))
+        world.at(rng.uniform(5.0, seconds * 0.6), lambda: dependency_graphs.draw(world))
     for _ in range(int(seconds / 8)):
         world.at(rng.uniform(10.0, seconds), lambda: net_trouble(world) if rng.random() < new else trouble(world))
     world.run(seconds + 30.0)
@@ -36,7 +36,7 @@
     world = World(seed, limit=48.0)
     world.cloud.room = 4
     for i in range(12):
-        world.at(15.0 + 6.0 * i, lambda: pipelines.draw(world))
+        world.at(15.0 + 6.0 * i, lambda: dependency_graphs.draw(world))
     world.run(100.0)
     until_done(world, 200.0)
     return world
--- a/tests/test_pipelines.py
+++ b/tests/test_dependency_scheduling.py
@@ -7,8 +7,8 @@
 import pytest
 
 from tealhook.wire.users import PRIORITY_RANK
-from tests import pipelines
-from tests.pipeline_steps import (
+from tests import dependency_graphs
+from tests.dependency_steps import (
     LONG,
     QUICK,
     SEEDS,
@@ -25,8 +25,8 @@
     submit,
     team_elsewhere,
 )
-from tests.users import PLAIN
-from tests.world import World, make_request
+from tests.simulated_cluster import World, make_request
+from tests.user_requests import PLAIN
 
 # -- order
 
@@ -43,7 +43,7 @@
 def test_each_step_waits_for_the_one_before(teams):
     world = settled(1)
     jobs = chain(world, 6, teams, plays=3)
-    assert [pipelines.held(world, world.jobs[job_id]) for job_id in jobs] == [False] + 5 * [True]
+    assert [dependency_graphs.held(world, world.jobs[job_id]) for job_id in jobs] == [False] + 5 * [True]
     all_over(world)
     _in_order(world, jobs)
 
@@ -65,7 +65,7 @@
     before = [submit(world) for _ in range(2)]
     all_over(world)
     later = [submit(world, before, crew=team) for team in TEAMS]
-    assert not any(pipelines.held(world, world.jobs[job_id]) for job_id in later)
+    assert not any(dependency_graphs.held(world, world.jobs[job_id]) for job_id in later)
     all_over(world)
     assert set(finals(world, later)) == {"done"}
     for job_id in later:  # at once, as any job
@@ -179,7 +179,7 @@
     world, first, full, held = _held_at_the_limit()
     world.run(150.0)  # more than a third of four minutes
     end_in(world, first, 0.5)
-    run_until(world, lambda: not pipelines.held(world, world.jobs[held]))
+    run_until(world, lambda: not dependency_graphs.held(world, world.jobs[held]))
     world.run(5.0)
     urgent = submit(world, crew="team-1", vcpus=4.0, expected_s=8.0)
     world.run(5.0)
--- a/tests/test_waits_on_input.py
+++ b/tests/test_dependency_validation.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from tests.test_bad_input import MISSING, Desk, text
+from tests.test_submission_validation import MISSING, Desk, text
 
 
 @pytest.fixture(scope="module")
--- a/tests/test_mistaken_jobs.py
+++ b/tests/test_failing_jobs.py
@@ -7,9 +7,9 @@
 import pytest
 
 from tealhook.controller import Controller
-from tests.pipeline_steps import run_until
-from tests.users import ALIKE
-from tests.world import World
+from tests.dependency_steps import run_until
+from tests.simulated_cluster import World
+from tests.user_requests import ALIKE
 
 MISTAKEN = ALIKE | {"crew": "team-0", "expected_s": 20.0, "plays": 30}
 SECONDS = 150.0
--- a/tests/test_flapping.py
+++ b/tests/test_flapping.py
@@ -6,8 +6,8 @@
 
 from tealhook.coordination import stability
 from tealhook.coordination.stability import Stability
-from tests.users import ALIKE
-from tests.world import World
+from tests.simulated_cluster import World
+from tests.user_requests import ALIKE
 
 LEASE_S = 3.0
 
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -5,8 +5,8 @@
 from tealhook.fleet import FleetManager
 from tealhook.fleet.machines import RentedMachine
 from tealhook.wire import mesh
-from tests.users import PLAIN
-from tests.world import World
+from tests.simulated_cluster import World
+from tests.user_requests import PLAIN
 
 
 @pytest.mark.parametrize("cut", ["state", "state and peers"])
--- a/tests/test_guards.py
+++ b/tests/test_guards.py
@@ -14,7 +14,7 @@
 from tealhook.wire import mesh
 from tealhook.wire import workers as wire
 from tealhook.wire.state import Put
-from tests.world import Broken, World, random_run
+from tests.simulated_cluster import Broken, World, random_run
 
 SEEDS = 30
 
--- a/tests/test_job_records.py
+++ b/tests/test_job_records.py
@@ -13,10 +13,10 @@
 from tealhook.wire import state as state_wire
 from tealhook.wire.common import dumps
 from tealhook.wire.state import KeyValue
+from tests.simulated_cluster import World
 from tests.simulation.context import make_context
 from tests.test_records import LIMIT, _job, _stage
-from tests.users import ALIKE
-from tests.world import World
+from tests.user_requests import ALIKE
 
 ROW = {"t": "team", "st": "done", "at": 7.5}
 
--- a/tests/test_thousands.py
+++ b/tests/test_large_fleet.py
@@ -24,10 +24,10 @@
 from tealhook.state_store.watcher import LIST_AFTER
 from tealhook.wire import mesh, workers
 from tealhook.wire.job_parser import parse_job
+from tests.simulated_cluster import World
 from tests.simulation.requests import make_request, reads_jobs
-from tests.test_bad_input import FIELDS, text
-from tests.users import ALIKE
-from tests.world import World
+from tests.test_submission_validation import FIELDS, text
+from tests.user_requests import ALIKE
 
 MACHINES = 4000
 ZONE = "za"
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -18,10 +18,10 @@
 from tealhook.wire.cloud import MachineTypes
 from tealhook.wire.common import dumps
 from tealhook.wire.users import JobSpec
+from tests.infrastructure_faults import mixed_run
+from tests.simulated_cluster import World, calm, settings_text
 from tests.simulation.context import make_context
-from tests.troubles import mixed_run
-from tests.users import PLAIN
-from tests.world import World, calm, settings_text
+from tests.user_requests import PLAIN
 
 NEXT = {"write_rps": 21.0, "value_kb": 2.0, "txn_ops": 5}
 LIMIT = int(0.97 * 2 * 1024)
--- a/tests/test_machine_types.py
+++ b/tests/test_machine_types.py
@@ -30,8 +30,8 @@
 from tealhook.wire import state as state_wire
 from tealhook.wire.cloud import MachineType, MachineTypes
 from tealhook.wire.common import dumps
+from tests.simulated_cluster import RIGS, World
 from tests.standins import StateService
-from tests.world import RIGS, World
 
 TYPES = "fleet/types"
 TIGHT = {"value_kb": 0.7, "txn_ops": 2}  # four types a value, two changes a transaction
--- a/tests/test_mixed_versions.py
+++ b/tests/test_mixed_versions.py
@@ -8,13 +8,13 @@
 import msgspec
 import pytest
 
-from tests import pipelines
-from tests.pipeline_steps import LONG, QUICK, end_in, run_until
+from tests import dependency_graphs
+from tests.dependency_steps import LONG, QUICK, end_in, run_until
+from tests.infrastructure_faults import KINDS, all_calm, mixed_run, owners, until_done
+from tests.simulated_cluster import Network, World, make_request
 from tests.standins import StateService
-from tests.troubles import KINDS, all_calm, mixed_run, owners, until_done
-from tests.users import PLAIN
+from tests.user_requests import PLAIN
 from tests.versions import MissingCommitError, Version, archived, extract, present, production, production_commit
-from tests.world import Network, World, make_request
 
 NAMES = ("n0", "n1", "n2")
 LOWER = {"write_rps": 30.0, "value_kb": 0.7, "txn_ops": 2}
@@ -290,7 +290,7 @@
         world.crash(name, 0.5 if name == "n1" else 100.0)
     held = world.submit(**PLAIN | QUICK | {"waits_on": [first], "crew": "team-1"})
     run_until(world, lambda: world.jobs[held].accepted, 40.0)  # n1 alone decides
-    assert world.nodes.keys() == {"n1"} and pipelines.held(world, world.jobs[held])
+    assert world.nodes.keys() == {"n1"} and dependency_graphs.held(world, world.jobs[held])
 
 
 # -- bytes
--- a/tests/test_cuts.py
+++ b/tests/test_network_partitions.py
@@ -4,11 +4,11 @@
 
 import pytest
 
-from tests.operations import CUTS, cut_sides
+from tests.infrastructure_faults import owner
+from tests.operational_faults import CUTS, cut_sides
+from tests.simulated_cluster import World
 from tests.simulation.requests import make_request
-from tests.troubles import owner
-from tests.users import ALIKE
-from tests.world import World
+from tests.user_requests import ALIKE
 
 CUT_S = 60.0
 QUICK = ALIKE | {"plays": 2, "vcpus": 1.0, "expected_s": 2.0}
--- a/tests/test_operations_runs.py
+++ b/tests/test_operational_faults_runs.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from tests.operations import operations_run
+from tests.operational_faults import operations_run
 
 MUST = [
     "freeze",
--- a/tests/test_boots.py
+++ b/tests/test_provisioning_times.py
@@ -6,8 +6,8 @@
 
 from tealhook.fleet.boots import MEMORY_BOOTS, BootTimes
 from tealhook.wire.cloud import MachineType
-from tests.users import ALIKE
-from tests.world import World
+from tests.simulated_cluster import World
+from tests.user_requests import ALIKE
 
 READY_S = 20.0
 RIG = MachineType("small", 8.0, 32.0, boot_s=READY_S, zones=["za", "zb"])
--- a/tests/test_answers.py
+++ b/tests/test_read_consistency.py
@@ -4,9 +4,9 @@
 
 import pytest
 
+from tests.simulated_cluster import World, make_request
 from tests.simulation.requests import reads_jobs
-from tests.users import ALIKE
-from tests.world import World, make_request
+from tests.user_requests import ALIKE
 
 
 def _slow_reads(world: World, node: str, seconds: float) -> None:
--- a/tests/test_read_index.py
+++ b/tests/test_read_index.py
@@ -7,9 +7,9 @@
 import pytest
 
 from tealhook.state_store import ReadIndex
+from tests.simulated_cluster import Broken, World, random_run
 from tests.simulation.requests import make_request, reads_jobs
-from tests.users import ALIKE
-from tests.world import Broken, World, random_run
+from tests.user_requests import ALIKE
 
 STORM_S = 10.0
 
--- a/tests/test_records.py
+++ b/tests/test_records.py
@@ -8,8 +8,8 @@
 from tealhook.jobs.job import Attempt, Job
 from tealhook.wire.common import dumps
 from tealhook.wire.users import JobSpec
-from tests.users import PLAIN
-from tests.world import World, calm, trouble
+from tests.simulated_cluster import World, calm, trouble
+from tests.user_requests import PLAIN
 
 LIMIT = int(0.97 * 8 * 1024)
 
--- a/tests/test_runs.py
+++ b/tests/test_runs.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from tests.world import World, random_run
+from tests.simulated_cluster import World, random_run
 
 
 def test_quiet_day_is_served():
@@ -36,7 +36,7 @@
 # A run in which the order of a set of names once decided which machine was answered first.
 SAME_RUN = """
 import logging
-from tests.world import World, random_run
+from tests.simulated_cluster import World, random_run
 logging.disable(logging.CRITICAL)
 whole, trace = World.at, []
 World.at = lambda self, delay, call: trace.append((self.now, delay)) or whole(self, delay, call)
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -12,7 +12,7 @@
 from tealhook.partitions.machine import Machine
 from tealhook.partitions.partition import Partition
 from tealhook.wire import mesh, workers
-from tests.world import World
+from tests.simulated_cluster import World
 
 ALIKE = {
     "plain": True,
--- a/tests/test_rounds.py
+++ b/tests/test_scheduling.py
@@ -9,7 +9,7 @@
 from tealhook.settings.platform import Objective
 from tealhook.wire import mesh, workers
 from tealhook.wire.job_parser import parse_job
-from tests.world import SimJob, World
+from tests.simulated_cluster import SimJob, World
 
 ALIKE = {"plain": True, "yard": None, "rigs": None, "spread": False, "together": False, "loaners": True, "pull_gb": 0.6}
 
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -9,7 +9,7 @@
 from tealhook.settings import DEFAULT_POLICY, PolicyError, SettingsError, load_policy
 from tealhook.settings.platform import parse_settings
 from tealhook.settings.policy import RULES, parse_policy
-from tests.world import settings_text
+from tests.simulated_cluster import settings_text
 
 ROOT = Path(__file__).resolve().parent.parent
 
--- a/tests/test_gap.py
+++ b/tests/test_stale_cancellation_view.py
@@ -12,9 +12,9 @@
 from tealhook.partitions.partition import DRIFT
 from tealhook.wire import mesh
 from tealhook.wire import workers as wire
+from tests.simulated_cluster import Broken, SimEffects, World
 from tests.test_guards import _answer_for_ever
-from tests.users import ALIKE
-from tests.world import Broken, SimEffects, World
+from tests.user_requests import ALIKE
 
 DRIFTS = (1.0, 1.0005)  # of a steady clock, by the protocol
 
--- a/tests/test_left_waiting.py
+++ b/tests/test_starvation.py
@@ -8,7 +8,7 @@
 from tealhook.jobs.job import Attempt, Job
 from tealhook.scheduling.candidates import CandidateSelection
 from tealhook.wire.job_parser import parse_job
-from tests.world import Broken, SimJob, World
+from tests.simulated_cluster import Broken, SimJob, World
 
 ALIKE = {"plain": True, "yard": None, "spread": False, "together": False, "pull_gb": 0.6, "playbook": "img-0"}
 ANY = ALIKE | {"rigs": None, "loaners": True, "vcpus": 3.0, "expected_s": 6.0}
--- a/tests/test_bad_input.py
+++ b/tests/test_submission_validation.py
@@ -9,8 +9,8 @@
 from tealhook.jobs.index import parse_record
 from tealhook.wire.job_parser import parse_job
 from tealhook.wire.users import JobSpec
+from tests.simulated_cluster import SimJob, World, make_request
 from tests.simulation.requests import reads_jobs
-from tests.world import SimJob, World, make_request
 
 MISSING = None
 FIELDS = {
--- a/tests/test_standing_still.py
+++ b/tests/test_suspended_process.py
@@ -3,8 +3,8 @@
 import pytest
 
 from tealhook.coordination import FLEET_KEY, Ownership
-from tests.users import ALIKE
-from tests.world import SimEffects, World
+from tests.simulated_cluster import SimEffects, World
+from tests.user_requests import ALIKE
 
 LEASE_S = 9.0
 
--- a/tests/test_guests.py
+++ b/tests/test_teams_without_guarantee.py
@@ -6,8 +6,8 @@
 
 from tealhook.partitions.preemption import Preemption
 from tealhook.scheduling.candidates import CandidateSelection
-from tests.users import ALIKE
-from tests.world import World
+from tests.simulated_cluster import World
+from tests.user_requests import ALIKE
 
 GUEST = ALIKE | {"crew": "team-2", "urgency": "low", "expected_s": 300.0, "snapshot_every_s": 5.0, "snapshot_s": 1.0}
 OWNER = ALIKE | {"crew": "team-0", "urgency": "standard", "expected_s": 4.0, "plays": 4}
--- a/tests/test_notices.py
+++ b/tests/test_termination_notices.py
@@ -4,9 +4,9 @@
 
 from tealhook.partitions.partition import Partition
 from tealhook.scheduling.reconciliation import Reconciliation
+from tests.simulated_cluster import World
 from tests.standins import Worker
-from tests.users import ALIKE
-from tests.world import World
+from tests.user_requests import ALIKE
 
 
 def _running(expected_s: float, **over) -> tuple[World, Worker]:
--- a/tests/test_upgrade_runs.py
+++ b/tests/test_upgrade_runs.py
@@ -12,11 +12,11 @@
 from tealhook.coordination import Versions
 from tealhook.jobs import JobIndex
 from tealhook.jobs.job import Job
-from tests import pipelines
-from tests.test_pipelines_runs import not_found_out
-from tests.troubles import all_calm, net_trouble, until_done
-from tests.users import PLAIN
-from tests.world import World, trouble
+from tests import dependency_graphs
+from tests.infrastructure_faults import all_calm, net_trouble, until_done
+from tests.simulated_cluster import World, trouble
+from tests.test_dependency_runs import not_found_out
+from tests.user_requests import PLAIN
 
 SEEDS = (0, 1, 2, 3, 6, 7)
 GUARD_SEEDS = range(20)
@@ -73,10 +73,10 @@
         world.at(rng.uniform(0.0, 0.7 * SECONDS), world.submit)
     last_upgrade = _upgrade_all(world)
     for _ in range(5):
-        world.at(rng.uniform(5.0, 0.6 * SECONDS), lambda: pipelines.draw(world))
+        world.at(rng.uniform(5.0, 0.6 * SECONDS), lambda: dependency_graphs.draw(world))
     for _ in range(2):  # of which a job is cancelled while others wait for it
-        world.at(rng.uniform(5.0, 0.6 * SECONDS), lambda: pipelines.Pipeline(
-            world, pipelines.chain(3), cancel="middle", expected_s=40.0
+        world.at(rng.uniform(5.0, 0.6 * SECONDS), lambda: dependency_graphs.Pipeline(
+            world, dependency_graphs.chain(3), cancel="middle", expected_s=40.0
         ))  # fmt: skip
     for _ in range(int(SECONDS / 8)):
         world.at(rng.uniform(10.0, SECONDS), lambda: net_trouble(world) if rng.random() < 0.5 else trouble(world))
