--- a/tests/test_combined_faults_users.py
+++ b/tests/test_combined_faults_users.py
@@ -60,7 +60,7 @@
     return world
 
 
-@pytest.mark.parametrize("kind", ["cancel", "question", "repeat"])
+@pytest.mark.parametrize("kind", ["cancel", "query", "resubmit"])
 @pytest.mark.parametrize("seed", SEEDS)
 def test_request_races_completion_of_last_task(seed, kind):
     world = _completion_races(seed, kind)
