--- a/tealhook/controller.py
+++ b/tealhook/controller.py
@@ -12,7 +12,7 @@
 from tealhook.gossip import FleetInputs, GossipReceiver, GossipSender, GossipSources, PeerStates
 from tealhook.health_check import HealthCheck
 from tealhook.jobs import JobIndex, JobState
-from tealhook.loop.effects import Effects, every
+from tealhook.loop.effects import LONG_AGO_S, Effects, every
 from tealhook.mesh import Mesh
 from tealhook.mesh_handler import MeshHandler
 from tealhook.partitions import PartitionManager
@@ -26,7 +26,6 @@
 MAX_ZONE_LENGTH = 64
 MAX_RECENT_READS = 1000  # of jobs that are not in the job index; beyond that all are forgotten
 INCARNATION_BITS = 62
-NEVER_S = -1e9  # a time before all others
 
 
 class Controller:
@@ -126,7 +125,10 @@
     def on_unknown_job(self, job: str) -> None:
         """A worker has a task of a job that is not in our job index: read the job's record from the state service."""
         now = self.context.effects.now()
-        if now - self._last_read_at.get(job, NEVER_S) < self.context.workers.lease_s / 8 or not self.job_index.synced:
+        if (
+            now - self._last_read_at.get(job, LONG_AGO_S) < self.context.workers.lease_s / 8
+            or not self.job_index.synced
+        ):
             return
         if len(self._last_read_at) > MAX_RECENT_READS:
             self._last_read_at.clear()
--- a/tealhook/coordination/claims.py
+++ b/tealhook/coordination/claims.py
@@ -16,8 +16,8 @@
 from tealhook.coordination.owned_keys import OwnedKeys
 from tealhook.coordination.ownership_keys import FLEET_KEY, PARTITION_PREFIX, TEAM_PREFIX, node_key
 from tealhook.coordination.ownership_view import OwnershipRecord, OwnershipView, stored_value
+from tealhook.loop.effects import LONG_AGO_S
 from tealhook.state_store import CallPriority, Outcome, StateClient, TransactionResult
-from tealhook.state_store.request_queue import NEVER
 from tealhook.wire import state as wire
 
 log = logging.getLogger(__name__)
@@ -73,8 +73,8 @@
         self._lease_ttl_s = lease_ttl_s(context)
         self._is_writing = False
         self._max_claims = MAX_CLAIMS  # of one transaction; fewer after one was rejected
-        self._claim_not_before = NEVER  # a rejected claim is not repeated before
-        self._handed_over_at = NEVER
+        self._claim_not_before = LONG_AGO_S  # a rejected claim is not repeated before
+        self._handed_over_at = LONG_AGO_S
         self._avoided_until: dict[str, float] = {}  # keys released because no worker is heard, not to be claimed before
         self._unreachable_since: float | None = None  # since when no owner of a partition can be reached
 
--- a/tealhook/coordination/suspension.py
+++ b/tealhook/coordination/suspension.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from tealhook.state_store.request_queue import NEVER
+from tealhook.loop.effects import LONG_AGO_S
 
 
 class SuspensionDetector:
@@ -12,7 +12,7 @@
         """A timer that has not run for longer than `limit_s` means that the process was suspended."""
         self._limit_s = limit_s
         self._ran_at = now
-        self._detected_at = NEVER
+        self._detected_at = LONG_AGO_S
 
     def record_run(self, now: float) -> None:
         """Note that the timer runs."""
--- a/tealhook/fleet/cloud_calls.py
+++ b/tealhook/fleet/cloud_calls.py
@@ -14,6 +14,7 @@
 from tealhook.fleet.machines import RentedMachine
 from tealhook.fleet.provisioning import ProvisioningTimes
 from tealhook.loop import TokenBucket
+from tealhook.loop.effects import LONG_AGO_S
 from tealhook.mesh import Mesh
 from tealhook.state_store import StateClient
 from tealhook.wire import cloud as wire
@@ -67,11 +68,11 @@
             str, float
         ] = {}  # machine -> when it was released, or known to be; lists may still show it
         self._fences: dict[str, float] = {}  # machines to be released, and since when
-        self._no_release_before = -1e9  # until then nothing is released
+        self._no_release_before = LONG_AGO_S  # until then nothing is released
         self._cloud_silent_since: float | None = None  # since when the cloud has not answered
         self._owned_since = self._effects.now()
         self._calls_in_flight = 0
-        self._types_read_at = -1e9
+        self._types_read_at = LONG_AGO_S
         self._stored_types: set[tuple] | None = None  # as written by us under this ownership
         self._storing_types = False
 
--- a/tealhook/fleet/listing.py
+++ b/tealhook/fleet/listing.py
@@ -9,6 +9,7 @@
 from tealhook.coordination import partition_key
 from tealhook.fleet.cloud_calls import CloudCalls
 from tealhook.fleet.machines import RentedMachine
+from tealhook.loop.effects import LONG_AGO_S
 from tealhook.wire import cloud as wire
 
 log = logging.getLogger(__name__)
@@ -22,7 +23,7 @@
     def _reset(self) -> None:
         super()._reset()
         self._is_listing = False
-        self._listed_at = -1e9
+        self._listed_at = LONG_AGO_S
         self._page_count = 1  # of the last list
         self._has_listed = False
 
--- a/tealhook/jobs/job.py
+++ b/tealhook/jobs/job.py
@@ -16,10 +16,9 @@
 from tealhook.jobs.chunk_layout import ChunkLayout, MovedAttempt, by_index
 from tealhook.jobs.job_entry import JobEntry
 from tealhook.jobs.tasks import JobTasks
+from tealhook.loop.effects import LONG_AGO_S
 from tealhook.wire.common import dumps
 
-LONG_AGO = -1e9  # earlier than any time that the loop's clock shows: what never happened
-
 
 class WriteState(enum.Enum):
     """How a job's record stands. Nothing is written while an earlier write may yet be executed."""
@@ -50,8 +49,8 @@
         self.moved_attempts: list[MovedAttempt] = []  # with the write laid out last
         self.uncertain_chunks: set[int] = set()  # chunks that a copy of unknown outcome may yet come to
         self.rejections = 0  # how often in a row its write was too much for the state service
-        self.last_rejected_at = LONG_AGO
-        self.write_not_before = LONG_AGO  # it is not written before
+        self.last_rejected_at = LONG_AGO_S
+        self.write_not_before = LONG_AGO_S  # it is not written before
         self.has_deferrable_change = False  # something changed that need not be durable at once
         self.deferrable_since = 0.0
         self.write_state = WriteState.SETTLED
--- a/tealhook/loop/effects.py
+++ b/tealhook/loop/effects.py
@@ -6,6 +6,10 @@
 from collections.abc import Callable
 from typing import Any, Protocol
 
+# A time before all others on the monotonic clock, for what has never happened. It is finite, since ages that are
+# reckoned from it are sent to other controllers.
+LONG_AGO_S = -1e9
+
 Answer = Callable[[int | None, bytes], Any]
 
 
--- a/tealhook/mesh/mesh.py
+++ b/tealhook/mesh/mesh.py
@@ -9,12 +9,12 @@
 import msgspec
 
 from tealhook.context import NodeContext
+from tealhook.loop.effects import LONG_AGO_S
 from tealhook.wire import mesh as wire
 
 log = logging.getLogger(__name__)
 
 MAX_PROCESSES = 256  # whose newest gossip is remembered
-NEVER_S = -1e9  # a time before all others
 
 OnReply = Callable[[wire.Body | None], Any]  # is given the reply, or None when none came in time
 
@@ -69,7 +69,7 @@
 
     def seconds_since_heard(self, peer: str) -> float:
         """Seconds since the last message of a peer; more than any limit when there was none."""
-        return self._effects.now() - self._heard_at.get(peer, NEVER_S)
+        return self._effects.now() - self._heard_at.get(peer, LONG_AGO_S)
 
     def _encode(self, call: int, body: wire.Body) -> bytes:
         """Encode a message under the next number."""
--- a/tealhook/partitions/heartbeats.py
+++ b/tealhook/partitions/heartbeats.py
@@ -5,8 +5,9 @@
 import logging
 from typing import cast
 
+from tealhook.loop.effects import LONG_AGO_S
 from tealhook.partitions.fetch_rates import FetchRates
-from tealhook.partitions.machine import LONG_AGO_S, AttemptKey, Machine, MachineTask
+from tealhook.partitions.machine import AttemptKey, Machine, MachineTask
 from tealhook.partitions.machine_health import MachineHealth
 from tealhook.partitions.reservations import Reservations
 from tealhook.partitions.state import PartitionState
--- a/tealhook/partitions/machine.py
+++ b/tealhook/partitions/machine.py
@@ -7,12 +7,12 @@
 from dataclasses import dataclass, field
 from typing import NamedTuple
 
+from tealhook.loop.effects import LONG_AGO_S
 from tealhook.wire import mesh
 from tealhook.wire import workers as wire
 from tealhook.wire.common import Resources
 
 EPSILON = 1e-6  # sums of requested resources are compared with this much slack
-LONG_AGO_S = -1e9  # on the monotonic clock: before anything that ever happened
 NEVER_S = 1e9  # as a duration, and on the monotonic clock: not as far as known; finite, since it is sent
 
 # How many tasks of some resources fit on a machine now; if none does, from when one should. A plain tuple: there is one
--- a/tealhook/partitions/redirects.py
+++ b/tealhook/partitions/redirects.py
@@ -7,8 +7,8 @@
 from tealhook.context import NodeContext
 from tealhook.coordination import Ownership, partition_key
 from tealhook.http import Reply
+from tealhook.loop.effects import LONG_AGO_S
 from tealhook.mesh import Mesh
-from tealhook.partitions.machine import LONG_AGO_S
 from tealhook.wire import mesh as mesh_wire
 from tealhook.wire import workers as wire
 from tealhook.wire.common import dumps, error_body
--- a/tealhook/partitions/worker_calls.py
+++ b/tealhook/partitions/worker_calls.py
@@ -8,7 +8,8 @@
 
 import msgspec
 
-from tealhook.partitions.machine import LONG_AGO_S, Machine
+from tealhook.loop.effects import LONG_AGO_S
+from tealhook.partitions.machine import Machine
 from tealhook.partitions.state import PartitionState
 from tealhook.wire import workers as wire
 from tealhook.wire.common import dumps
--- a/tealhook/state_store/read_index.py
+++ b/tealhook/state_store/read_index.py
@@ -11,8 +11,7 @@
 from typing import Any
 
 from tealhook.context import NodeContext
-from tealhook.loop.effects import Cancellable
-from tealhook.state_store.request_queue import NEVER
+from tealhook.loop.effects import LONG_AGO_S, Cancellable
 from tealhook.state_store.watcher import Watcher
 
 OnRefresh = Callable[[bool], Any]  # told whether the view shows all that was committed before the read
@@ -34,7 +33,7 @@
         self._slow_s = SLOW_SHARE * timeout_s
         self._waiting: list[OnRefresh] = []
         self._timer: Cancellable | None = None
-        self._sent_at = NEVER
+        self._sent_at = LONG_AGO_S
         self._in_flight = 0
 
     def read(self, done: OnRefresh) -> None:
--- a/tealhook/state_store/request_queue.py
+++ b/tealhook/state_store/request_queue.py
@@ -10,13 +10,10 @@
 
 from tealhook.context import NodeContext
 from tealhook.loop import TokenBucket
-from tealhook.loop.effects import Answer
+from tealhook.loop.effects import LONG_AGO_S, Answer
 
 log = logging.getLogger(__name__)
 
-# The time of an event that has not happened yet. It is finite because gossip sends ages computed from it to the peers.
-NEVER = -1e9
-
 USED_SHARE = 0.92  # of the rate limits; the rest allows for other nodes' unevenness and for clock drift
 EVEN_REQUEST_SHARE = 0.7  # of the requests: divided evenly among live nodes, the rest by the teams they own
 EVEN_WRITE_SHARE = 0.35  # of the writes: likewise
@@ -83,7 +80,7 @@
         limits = context.settings.params.state.least
         self._rps, self._wps = limits.rps, limits.write_rps
         self._pace = 1.0  # share of the rate limits that is used: less while the store reports that they are exceeded
-        self._paced_at = NEVER
+        self._paced_at = LONG_AGO_S
         self._live_node_count = 1
         self._owned_team_share: float | None = None
         now = context.effects.now()
@@ -91,8 +88,8 @@
         self._writes = TokenBucket(1.0, 1.0, now)
         self._queues: dict[CallPriority, deque[_QueuedRequest]] = {priority: deque() for priority in CallPriority}
         self._pump_scheduled = False
-        self.answered_at = NEVER  # when the store last answered, other than that it is unavailable
-        self.failed_at = NEVER  # when a request last got no answer, or that the store is unavailable
+        self.answered_at = LONG_AGO_S  # when the store last answered, other than that it is unavailable
+        self.failed_at = LONG_AGO_S  # when a request last got no answer, or that the store is unavailable
         self.set_share(max(1, context.settings.params.nodes), None)
 
     def set_share(self, live_node_count: int, owned_team_share: float | None) -> None:
--- a/tealhook/state_store/watcher.py
+++ b/tealhook/state_store/watcher.py
@@ -5,9 +5,9 @@
 from collections.abc import Callable
 from typing import Any
 
-from tealhook.loop.effects import Effects
+from tealhook.loop.effects import LONG_AGO_S, Effects
 from tealhook.state_store.client import StateClient
-from tealhook.state_store.request_queue import NEVER, CallPriority
+from tealhook.state_store.request_queue import CallPriority
 from tealhook.state_store.results import WatchOutcome, WatchResult
 from tealhook.wire import state as wire
 
@@ -47,7 +47,7 @@
         self._on_events = on_events
         self._revision = 0
         self._failures = 0  # lists and watches without an answer, in a row
-        self.viewed_at = NEVER
+        self.viewed_at = LONG_AGO_S
         self.synced = False  # whether the keys have been listed
 
     def start(self) -> None:
