--- a/tealhook/coordination/claims.py
+++ b/tealhook/coordination/claims.py
@@ -199,7 +199,7 @@
     def _release(self, key: str, token: int) -> None:
         # Not at the lowest priority: on a node that has taken over everything, assignments use up the rate limits, so
         # it would never hand anything over.
-        self._store.transact({key: token}, [wire.drop(key)], CallPriority.ADMIT, _ignore_result)
+        self._store.transact({key: token}, [wire.delete(key)], CallPriority.ADMIT, _ignore_result)
 
 
 def _ignore_result(_result: TransactionResult) -> None:
--- a/tealhook/fleet/machine_types.py
+++ b/tealhook/fleet/machine_types.py
@@ -179,7 +179,7 @@
 
 
 def _deletions(items: list[state_wire.KeyValue]) -> list[RecordChange]:
-    return [RecordChange(item.key, item.mod_revision, state_wire.drop(item.key)) for item in items]
+    return [RecordChange(item.key, item.mod_revision, state_wire.delete(item.key)) for item in items]
 
 
 def first_transaction(changes: list[RecordChange], most: int) -> tuple[list[RecordChange], list[RecordChange]]:
--- a/tealhook/jobs/assignment_record.py
+++ b/tealhook/jobs/assignment_record.py
@@ -12,7 +12,7 @@
 
 from tealhook.errors import CorruptRecordError
 from tealhook.jobs.attempt import Attempt
-from tealhook.wire.common import dumps
+from tealhook.wire.common import encode_json
 
 ASSIGNMENTS_PREFIX = "live/"
 DONE = 1  # of a task in `JobTasks.done`
@@ -52,11 +52,11 @@
     """Return the value of a record's first chunk, with what is done as ranges, as many as `limit` bytes allow."""
     ranges = _done_ranges(done)
     value = {"q": list(resources), "c": last_attempt_number, "d": ranges, "m": _encode_assignments(attempts)}
-    if len(ranges) > 1 and len(dumps(value)) > limit:
+    if len(ranges) > 1 and len(encode_json(value)) > limit:
         # Done tasks that the record does not name are run again after a failover, no more: the longest ranges stay,
         # as many as there is space for.
         ranges.sort(key=lambda r: r[0] - r[1])
-        while len(ranges) > 1 and len(dumps(value)) > limit:
+        while len(ranges) > 1 and len(encode_json(value)) > limit:
             del ranges[-1 - len(ranges) // 8 :]
         ranges.sort()
     return value
--- a/tealhook/jobs/chunk_layout.py
+++ b/tealhook/jobs/chunk_layout.py
@@ -6,7 +6,7 @@
 from typing import NamedTuple
 
 from tealhook.jobs.attempt import Attempt
-from tealhook.wire.common import dumps
+from tealhook.wire.common import encode_json
 
 FIRST_SHARE = 0.75  # of the first chunk is for assignments, the rest for what is done
 MIN_TASK_BYTES = 6  # a task takes at least so much of a record
@@ -59,7 +59,7 @@
             chunk: self._encode(chunk, self._named.get(chunk, []), self._limit)
             for chunk in sorted({0, *self._dirty_chunks})
         }
-        self._oversized = {chunk for chunk, value in values.items() if len(dumps(value)) > self._limit}
+        self._oversized = {chunk for chunk, value in values.items() if len(encode_json(value)) > self._limit}
         for chunk in sorted(self._oversized):
             if not self._shrink(chunk) and not chunk:
                 return
@@ -94,10 +94,10 @@
         max_bytes = self._limit * _assignment_share(chunk)
         if value_without is None:
             value_without = self._encode(chunk, here, self._limit)
-        taken = staged[: max(0, int((max_bytes - len(dumps(value_without))) / MIN_TASK_BYTES))]
+        taken = staged[: max(0, int((max_bytes - len(encode_json(value_without))) / MIN_TASK_BYTES))]
         while taken:
             value = self._encode(chunk, sorted([*here, *taken], key=by_index), self._limit)
-            if len(dumps(value)) <= max_bytes:
+            if len(encode_json(value)) <= max_bytes:
                 return taken, value
             del taken[-1 - len(taken) // 8 :]
         return [], value_without
@@ -150,7 +150,7 @@
             middle = (low + high + 1) // 2
             both = sorted([*there, *more[:middle]], key=by_index)
             # What is done gives way to what may be on a machine.
-            if len(dumps(self._encode(chunk, both, max_bytes))) <= max_bytes:
+            if len(encode_json(self._encode(chunk, both, max_bytes))) <= max_bytes:
                 low = middle
             else:
                 high = middle - 1
--- a/tealhook/jobs/job.py
+++ b/tealhook/jobs/job.py
@@ -17,7 +17,7 @@
 from tealhook.jobs.job_entry import JobEntry
 from tealhook.jobs.tasks import JobTasks
 from tealhook.loop.effects import LONG_AGO_S
-from tealhook.wire.common import dumps
+from tealhook.wire.common import encode_json
 
 
 class WriteState(enum.Enum):
@@ -121,7 +121,7 @@
             self.resources = decoded.resources
         self.last_attempt_number = max(self.last_attempt_number, decoded.last_attempt_number)
         self.chunk_revisions[chunk] = revision
-        self.chunk_sizes[chunk] = len(dumps(value))
+        self.chunk_sizes[chunk] = len(encode_json(value))
         for first, last in decoded.done_ranges:
             for index in range(first, min(last + 1, self.task_count)):
                 self.mark_done(index)
--- a/tealhook/partitions/commands.py
+++ b/tealhook/partitions/commands.py
@@ -13,7 +13,7 @@
 from tealhook.wire import mesh
 from tealhook.wire import workers as wire
 from tealhook.wire.cloud import MachineType
-from tealhook.wire.common import Resources, dumps
+from tealhook.wire.common import Resources, encode_json
 
 ENDED_STATES = (JobState.CANCELLED, JobState.DONE)
 MAX_COMMANDS = 300  # keeps a response far below the line limit
@@ -117,7 +117,7 @@
             if key in machine.tasks and machine.tasks[key].alive
         ]
         if commands:
-            body = dumps(wire.CommandBatch(self._token, commands[:MAX_COMMANDS], machine.session))
+            body = encode_json(wire.CommandBatch(self._token, commands[:MAX_COMMANDS], machine.session))
             self._effects.worker(machine.address, "POST", "/orders", body, DIRECT_CALL_TIMEOUT_S, ignore_answer)
 
     def launch(self, request: mesh.LaunchRequest) -> mesh.LaunchReply:
--- a/tealhook/partitions/redirects.py
+++ b/tealhook/partitions/redirects.py
@@ -11,7 +11,7 @@
 from tealhook.mesh import Mesh
 from tealhook.wire import mesh as mesh_wire
 from tealhook.wire import workers as wire
-from tealhook.wire.common import dumps, error_body
+from tealhook.wire.common import encode_json, error_body
 
 MIN_TRACKED = 4096  # machines; beyond that those are forgotten of which nothing was noted for long
 TRACKED_LEASES = 4.0
@@ -84,7 +84,7 @@
 
     @staticmethod
     def _send_to(owner: str, reply: Reply) -> None:
-        reply(421, dumps(wire.Redirection(owner)))
+        reply(421, encode_json(wire.Redirection(owner)))
 
     def _forget_old(self, times: dict[str, float], now: float) -> None:
         """Drop what is too old to matter from a table of machines, once it has doubled since the last time."""
--- a/tealhook/partitions/responses.py
+++ b/tealhook/partitions/responses.py
@@ -7,7 +7,7 @@
 from tealhook.partitions.machine import EPSILON, NEVER_S
 from tealhook.partitions.state import PartitionState
 from tealhook.wire import workers as wire
-from tealhook.wire.common import dumps
+from tealhook.wire.common import encode_json
 
 HEARTBEAT_GAP_S = 0.5  # the protocol: a worker never sends heartbeats more often
 GAP_SHARE = 0.9  # of that gap: a response may always be held open so long
@@ -34,7 +34,7 @@
         commands = self._commands.commands_for(machine) if machine is not None and may_command else []
         if machine is not None:
             machine.answered_at = self._effects.now()
-        return dumps(wire.CommandBatch(self._token, commands))
+        return encode_json(wire.CommandBatch(self._token, commands))
 
     def hold_open_s(self, name: str) -> float:
         """Seconds for which the response to a machine's heartbeat may stay open, so that a start can ride on it.
--- a/tealhook/partitions/worker_calls.py
+++ b/tealhook/partitions/worker_calls.py
@@ -12,7 +12,7 @@
 from tealhook.partitions.machine import Machine
 from tealhook.partitions.state import PartitionState
 from tealhook.wire import workers as wire
-from tealhook.wire.common import dumps
+from tealhook.wire.common import encode_json
 
 log = logging.getLogger(__name__)
 
@@ -85,7 +85,7 @@
             log.error("worker at %s: bad answer: %s", address, exc)
             return
         if heartbeat.fencing_token < self._state.token:
-            batch = dumps(wire.CommandBatch(self._state.token, [], heartbeat.session))
+            batch = encode_json(wire.CommandBatch(self._state.token, [], heartbeat.session))
             self._effects.worker(address, "POST", "/orders", batch, DIRECT_CALL_TIMEOUT_S, ignore_answer)
 
     def probe_unresponsive(self) -> None:
--- a/tealhook/scheduling/job_writes.py
+++ b/tealhook/scheduling/job_writes.py
@@ -18,7 +18,7 @@
 from tealhook.jobs.team import TeamState
 from tealhook.state_store import StateClient
 from tealhook.wire import state as state_wire
-from tealhook.wire.common import dumps
+from tealhook.wire.common import encode_json
 
 TXN_BYTES = 56 * 1024  # of the 64 KiB that a transaction may have
 MAX_HALVINGS = 2  # so often the write of a job is halved, once one was rejected
@@ -59,7 +59,9 @@
 
     def encoded_bytes(self) -> int:
         """About what it takes of a transaction."""
-        return sum(len(dumps(operation)) for operation in self.operations) + CONDITION_BYTES * len(self.conditions)
+        return sum(len(encode_json(operation)) for operation in self.operations) + CONDITION_BYTES * len(
+            self.conditions
+        )
 
 
 class JobWriteBuilder:
@@ -143,7 +145,7 @@
                 write.kept_chunks.add(chunk)
                 write.operations.append(state_wire.put(key, value))
             elif chunk in job.chunk_revisions:
-                write.operations.append(state_wire.drop(key))
+                write.operations.append(state_wire.delete(key))
         write.written_chunks = set(chunks)
         for chunk in write.condition_chunks:
             write.conditions[assignment_key(team, job.id, chunk)] = job.chunk_revisions.get(chunk, 0)
--- a/tealhook/state_store/client.py
+++ b/tealhook/state_store/client.py
@@ -28,7 +28,7 @@
     WatchResult,
 )
 from tealhook.wire import state as wire
-from tealhook.wire.common import dumps
+from tealhook.wire.common import encode_json
 
 log = logging.getLogger(__name__)
 
@@ -101,7 +101,7 @@
                 done(None, 0)
                 return
             try:
-                reply = wire.rows_decoder.decode(body)
+                reply = wire.key_range_decoder.decode(body)
             except msgspec.DecodeError as exc:
                 log.error("state store: malformed answer to a list: %s", exc)
                 done(None, 0)
@@ -174,7 +174,7 @@
         def answer(status: int | None, body: bytes) -> None:
             done(_parse_lease(status, body))
 
-        body = dumps({"ttl_ms": int(ttl_s * 1000)})
+        body = encode_json({"ttl_ms": int(ttl_s * 1000)})
         self.submit(CallPriority.RENEW, StateRequest("POST", "/grants", body, 0, 1.0, CALL_TIMEOUT_S, answer))
 
     def renew_lease(self, lease_id: int, timeout: float, done: Callable[[RenewalOutcome], Any]) -> None:
@@ -202,7 +202,7 @@
 def _parse_read(status: int | None, body: bytes) -> ReadResult:
     try:
         if status == OK:
-            return ReadResult(ReadOutcome.FOUND, wire.row_decoder.decode(body))
+            return ReadResult(ReadOutcome.FOUND, wire.key_value_decoder.decode(body))
         if status == NOT_FOUND:
             wire.absent_decoder.decode(body)  # a 404 of anything else, such as a proxy, proves nothing
             return ReadResult(ReadOutcome.ABSENT)
@@ -214,7 +214,7 @@
 def _parse_watch(status: int | None, body: bytes) -> WatchResult:
     if status == OK:
         try:
-            return WatchResult(WatchOutcome.CHANGES, wire.watched_decoder.decode(body))
+            return WatchResult(WatchOutcome.CHANGES, wire.watch_reply_decoder.decode(body))
         except msgspec.DecodeError as exc:
             log.error("state store: malformed answer to a watch: %s", exc)
     return WatchResult(WatchOutcome.COMPACTED if status == GONE else WatchOutcome.UNKNOWN)
@@ -238,7 +238,7 @@
 
 def _parse_lease(status: int | None, body: bytes) -> int | None:
     try:
-        return wire.granted_decoder.decode(body).lease_id if status == OK else None
+        return wire.lease_granted_decoder.decode(body).lease_id if status == OK else None
     except msgspec.DecodeError as exc:
         log.error("state store: malformed answer to the request of a lease: %s", exc)
         return None
--- a/tealhook/wire/common.py
+++ b/tealhook/wire/common.py
@@ -33,10 +33,6 @@
     return _raw_decoder.decode(data)
 
 
-dumps = encode_json  # the earlier names, for callers that still use them
-loads = decode_json
-
-
 def error_body(text: str) -> bytes:
     """The JSON body that goes with an error status."""
     return _encoder.encode({"error": text})
--- a/tealhook/wire/state.py
+++ b/tealhook/wire/state.py
@@ -73,13 +73,13 @@
     events: list[WatchEvent] = []
 
 
-row_decoder = msgspec.json.Decoder(KeyValue)
-rows_decoder = msgspec.json.Decoder(KeyRange)
+key_value_decoder = msgspec.json.Decoder(KeyValue)
+key_range_decoder = msgspec.json.Decoder(KeyRange)
 absent_decoder = msgspec.json.Decoder(Absent)
-granted_decoder = msgspec.json.Decoder(LeaseGranted)
+lease_granted_decoder = msgspec.json.Decoder(LeaseGranted)
 committed_decoder = msgspec.json.Decoder(Committed)
 conflict_decoder = msgspec.json.Decoder(Conflict)
-watched_decoder = msgspec.json.Decoder(WatchReply)
+watch_reply_decoder = msgspec.json.Decoder(WatchReply)
 
 
 Conditions = dict[str, int]  # key -> the revision of its last change that it must have; 0: it must not exist
@@ -117,7 +117,7 @@
     return Put(key, value, lease)
 
 
-def drop(key: str) -> Delete:
+def delete(key: str) -> Delete:
     """The operation that deletes `key`."""
     return Delete(key)
 
--- a/tests/test_job_records.py
+++ b/tests/test_job_records.py
@@ -11,7 +11,7 @@
 from tealhook.jobs.record_store import JobRecordStore, build_end_write
 from tealhook.state_store import CallPriority, Outcome, ReadOutcome, ReadResult, TransactionResult
 from tealhook.wire import state as state_wire
-from tealhook.wire.common import dumps
+from tealhook.wire.common import encode_json
 from tealhook.wire.state import KeyValue
 from tests.simulated_cluster import SimulatedCluster
 from tests.simulation.context import make_context
@@ -154,7 +154,7 @@
     assert world.jobs[job].accepted
     written = [write for submission in laid_out for write in submission.writes]
     assert [key for key, _value in written] == [f"job/{job}"]
-    assert world.state.rows[f"job/{job}"][0] == json.loads(dumps(written[0].value))
+    assert world.state.rows[f"job/{job}"][0] == json.loads(encode_json(written[0].value))
 
 
 def test_first_chunk_is_encoded_once_when_nothing_is_staged(monkeypatch):
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -17,7 +17,7 @@
 from tealhook.state_store import CallPriority, Outcome, StateClient
 from tealhook.wire import mesh as wire
 from tealhook.wire.cloud import MachineTypes
-from tealhook.wire.common import dumps
+from tealhook.wire.common import encode_json
 from tealhook.wire.users import JobSpec
 from tests.infrastructure_faults import combined_faults_run
 from tests.simulated_cluster import SimulatedCluster, end_faults, settings_text
@@ -79,7 +79,7 @@
     assert len({a.machine for a in wide.attempts.values()}) == 250
     widest = _read(PRODUCTION["live_400"], ["1", "0"])
     assert sorted(widest.attempts) == list(range(400)) and widest.chunk_revisions == {0: 5, 1: 5}
-    assert max(len(dumps(value)) for value in PRODUCTION["live_400"].values()) > 2.5 * LIMIT
+    assert max(len(encode_json(value)) for value in PRODUCTION["live_400"].values()) > 2.5 * LIMIT
 
 
 def test_production_job_ownership_and_type_records_are_read():
@@ -130,7 +130,7 @@
 def _step(job: Job, durable: dict[int, dict], most: int) -> dict[int, dict]:
     """One write, as the state service carries it out; every value and their number within limits."""
     written = job.lay_out(LIMIT, most)
-    assert 0 < len(written) <= most and all(len(dumps(value)) <= LIMIT for value in written.values())
+    assert 0 < len(written) <= most and all(len(encode_json(value)) <= LIMIT for value in written.values())
     job.dirty_chunks -= written.keys()
     for chunk, value in written.items():
         if value["m"] or not chunk:
@@ -151,7 +151,7 @@
     durable = {int(chunk): value for chunk, value in PRODUCTION[record].items()}
     job = _read(durable)
     before, steps, copies = _names(job), 0, 0
-    while steps == 0 or job.dirty_chunks or max(len(dumps(value)) for value in durable.values()) > LIMIT:
+    while steps == 0 or job.dirty_chunks or max(len(encode_json(value)) for value in durable.values()) > LIMIT:
         if not job.dirty_chunks:
             job.dirty_chunks |= durable.keys()
         copies += 0 not in _step(job, durable, most)
@@ -163,7 +163,7 @@
         assert _names(again) == before == _names(job) and again.last_attempt_number == job.last_attempt_number
         if takeover:
             job = again
-    assert all(len(dumps(value)) <= LIMIT for value in durable.values())
+    assert all(len(encode_json(value)) <= LIMIT for value in durable.values())
     assert copies > 0 if most < 5 else steps <= 4
     named = [
         name for value in durable.values() for machines_of_zone in value["m"].values() for name in machines_of_zone
@@ -238,7 +238,9 @@
             lambda: world.submit(plays=180, vcpus=8.0, expected_s=30.0, **UNCONSTRAINED_JOB),
         )
     world.run(45.0)
-    large = [key for key, row in world.state.rows.items() if key.startswith("live/") and len(dumps(row[0])) > LIMIT]
+    large = [
+        key for key, row in world.state.rows.items() if key.startswith("live/") and len(encode_json(row[0])) > LIMIT
+    ]
     assert large
     copies, real = [], world.state._txn
 
--- a/tests/test_machine_type_records.py
+++ b/tests/test_machine_type_records.py
@@ -22,10 +22,10 @@
     plan_changes,
     split_types,
 )
-from tealhook.state_store import CallPriority, Outcome
+from tealhook.state_store import CallPriority, Outcome, TransactionResult
 from tealhook.wire import state as state_wire
 from tealhook.wire.cloud import MachineType, MachineTypes
-from tealhook.wire.common import dumps
+from tealhook.wire.common import encode_json
 from tests.machine_type_offers import TYPES, offer
 
 PRODUCTION = json.loads((Path(__file__).parent / "fixtures" / "production.json").read_text(encoding="utf-8"))["types"]
@@ -49,11 +49,11 @@
     first, *others = split_types(types, most_bytes, _from_one)
     assert (first.more, first.more_from) == (len(others), 1)
     assert [machine_type for record in (first, *others) for machine_type in record.machine_types] == types
-    assert all(record.machine_types and len(dumps(record)) <= most_bytes for record in (first, *others))
+    assert all(record.machine_types and len(encode_json(record)) <= most_bytes for record in (first, *others))
     if others:
         more = MachineTypesRecord([*first.machine_types, others[0].machine_types[0]], first.more)
-        assert len(dumps(more)) > most_bytes
-        assert len(dumps(MachineTypesRecord(types))) > most_bytes
+        assert len(encode_json(more)) > most_bytes
+        assert len(encode_json(MachineTypesRecord(types))) > most_bytes
 
 
 def test_production_reads_first_of_several_records():
@@ -70,7 +70,7 @@
 def test_production_types_stay_one_record_of_identical_bytes():
     types = msgspec.convert(PRODUCTION, MachineTypes).machine_types
     (change,) = plan_changes(StoredMachineTypes(), types, 2048)
-    assert dumps(change.operation.value) == dumps(PRODUCTION)
+    assert encode_json(change.operation.value) == encode_json(PRODUCTION)
 
 
 @pytest.mark.parametrize("txn_ops", [1, 2, 5, 16])
@@ -85,7 +85,7 @@
         groups.append(group)
     assert [change for group in groups for change in group] == changes
     assert all(len(group) <= txn_ops for group in groups)
-    assert all(len(dumps([change.operation for change in group])) < 60 * 1024 for group in groups)
+    assert all(len(encode_json([change.operation for change in group])) < 60 * 1024 for group in groups)
     assert [change.key for change in changes[:2]] == [
         further_key(n) for n in (6, 7)
     ]  # free numbers, one after the other
@@ -113,8 +113,8 @@
 
     def transact(self, when: dict, apply: list, _priority: CallPriority, done: Callable) -> None:
         assert len(apply) <= self.max_operations and len(when) <= 4 * self.max_operations
-        apply = [msgspec.json.decode(dumps(operation)) for operation in apply]  # as the state service reads them
-        assert all(len(dumps(op["v"])) <= self.value_bytes for op in apply if "write" in op)
+        apply = [msgspec.json.decode(encode_json(operation)) for operation in apply]  # as the state service reads them
+        assert all(len(encode_json(op["v"])) <= self.value_bytes for op in apply if "write" in op)
         if self.rng.random() < self.fault_share:
             self.one_comes_late()
         if self.rng.random() < self.fault_share:
@@ -122,11 +122,11 @@
                 self.carry_out(when, apply)
             else:
                 self.late.append((when, apply))
-            done(Outcome.UNKNOWN, 0, [])
+            done(TransactionResult(Outcome.UNKNOWN))
         elif self.carry_out(when, apply):
-            done(Outcome.COMMITTED, self.revision, [])
+            done(TransactionResult(Outcome.COMMITTED, revision=self.revision))
         else:
-            done(Outcome.CONFLICTED, 0, [])
+            done(TransactionResult(Outcome.CONFLICTED))
 
     def carry_out(self, when: dict, apply: list) -> bool:
         if any(self.rows.get(key, (None, 0))[1] != stamp for key, stamp in when.items()):
--- a/tests/test_machine_types.py
+++ b/tests/test_machine_types.py
@@ -14,7 +14,7 @@
 from tealhook.coordination import FLEET_KEY
 from tealhook.state_store import CallPriority, Outcome, TransactionResult
 from tealhook.wire import state as state_wire
-from tealhook.wire.common import dumps
+from tealhook.wire.common import encode_json
 from tests.machine_type_offers import TYPES, offer, type_names
 from tests.simulated_cluster import SimulatedCluster
 from tests.standins import StateService
@@ -221,4 +221,4 @@
     world.cloud.machine_types = offer(2, "c")
     world.run(ASKED_S)
     assert list(_records(world.state)) == [TYPES]
-    assert len(dumps(world.state.rows[TYPES][0])) <= 0.7 * 1024
+    assert len(encode_json(world.state.rows[TYPES][0])) <= 0.7 * 1024
--- a/tests/test_ownership_view.py
+++ b/tests/test_ownership_view.py
@@ -12,7 +12,7 @@
 from tealhook.coordination.ownership_view import OwnershipRecord, stored_value
 from tealhook.coordination.suspension import SuspensionDetector
 from tealhook.state_store import StateClient
-from tealhook.wire.common import dumps
+from tealhook.wire.common import encode_json
 from tests.simulation.context import make_context
 
 KEY = partition_key("za")
@@ -24,7 +24,7 @@
 
     def __init__(self, records: dict[str, tuple[object, int]]) -> None:
         rows = [{"path": key, "v": value, "stamp": revision} for key, (value, revision) in records.items()]
-        self._list = dumps({"rows": rows, "more": False, "epoch": 100})
+        self._list = encode_json({"rows": rows, "more": False, "epoch": 100})
         self.rng = random.Random(1)
         self.time = 50.0
 
--- a/tests/test_records.py
+++ b/tests/test_records.py
@@ -7,7 +7,7 @@
 from tealhook.jobs.attempt import Attempt
 from tealhook.jobs.job import Job
 from tealhook.jobs.job_entry import JobEntry
-from tealhook.wire.common import dumps
+from tealhook.wire.common import encode_json
 from tealhook.wire.users import JobSpec
 from tests.simulated_cluster import SimulatedCluster, end_faults, random_fault
 from tests.user_requests import UNCONSTRAINED_JOB
@@ -34,7 +34,7 @@
     job.mark_done(395)
     job.mark_done(396)
     value = job.encode(0, job.attempts_by_chunk()[0], LIMIT)
-    assert len(dumps(value)) < LIMIT
+    assert len(encode_json(value)) < LIMIT
     again = _job(400)
     again.load(0, value, 7, 0.0)
 
@@ -58,7 +58,7 @@
     job, again = _job(2000), _job(2000)
     _stage(job, range(1000), 0)
     written = job.lay_out(LIMIT, 7)
-    assert len(written) > 3 and all(len(dumps(value)) <= LIMIT for value in written.values())
+    assert len(written) > 3 and all(len(encode_json(value)) <= LIMIT for value in written.values())
     assert all(a.chunk >= 0 for a in job.staged.values())
     job.attempts, job.staged = job.staged, {}
     job.chunk_revisions = dict.fromkeys(written, 5)
@@ -88,7 +88,7 @@
     for index in range(9000, 9500):
         ragged.mark_done(index)
     value = ragged.lay_out(LIMIT, 7)[0]
-    assert len(dumps(value)) <= LIMIT and [9000, 9500] in value["d"]  # the longest stays
+    assert len(encode_json(value)) <= LIMIT and [9000, 9500] in value["d"]  # the longest stays
 
 
 def _wide_job(value_kb: float) -> tuple[int, int, SimulatedCluster]:
