--- a/tealhook/jobs/admission.py
+++ b/tealhook/admission/admission.py
@@ -11,16 +11,18 @@
 from functools import partial
 from typing import Any
 
-from tealhook.jobs.index import ACTIVE, CANCELLED, JobIndex, JobRecord, job_key
+from tealhook.admission.submissions import Submission, lay_out, why_too_large
+from tealhook.coordination import Versions
+from tealhook.jobs.index import JobIndex, JobRecord, JobState, job_key
 from tealhook.jobs.records import JobRecords, OnRecord
-from tealhook.jobs.submissions import Submission, lay_out, why_too_large
 from tealhook.loop.effects import Effects
 from tealhook.settings import Settings
-from tealhook.store import Outcome, Priority, ReadIndex, StateClient, Versions
+from tealhook.state_store import CallPriority, Outcome, ReadIndex, StateClient
 from tealhook.wire import state as state_wire
 from tealhook.wire.cloud import MachineType
 from tealhook.wire.common import dumps, error_body
-from tealhook.wire.users import ARRAY, InvalidJobError, JobSpec, JobStatus, parse_job, valid_job_id
+from tealhook.wire.job_parser import InvalidJobError, parse_job
+from tealhook.wire.users import DisplayedStatus, JobKind, JobSpec, JobStatus, valid_job_id
 
 log = logging.getLogger("tealhook.jobs")
 
@@ -39,17 +41,17 @@
         effects: Effects,
         settings: Settings,
         store: StateClient,
-        book: JobIndex,
+        job_index: JobIndex,
         types: dict[str, MachineType],
         progress: dict[str, tuple[int, int]],
         versions: Versions,
     ) -> None:
         """Jobs are judged by the machine types, as far as these are known, and counted by `progress`."""
-        self._fx = effects
+        self._effects = effects
         self._store = store
-        self._book = book
-        self._records = JobRecords(effects, store, book)
-        self._read_index = ReadIndex(effects, settings, book.watcher, READ_TIMEOUT_S)
+        self._job_index = job_index
+        self._records = JobRecords(effects, store, job_index)
+        self._read_index = ReadIndex(effects, settings, job_index.watcher, READ_TIMEOUT_S)
         self._types = types
         self._progress = progress
         self._versions = versions
@@ -59,10 +61,11 @@
     # -- answers
 
     def _status_body(self, job: str, status: str) -> bytes:
-        if status != ACTIVE:
+        if status != JobState.ACTIVE:
             return dumps(JobStatus(job, status))
         done, running = self._progress.get(job, (0, 0))
-        return dumps(JobStatus(job, "running" if running else "pending", done, running))
+        displayed = DisplayedStatus.RUNNING if running else DisplayedStatus.PENDING
+        return dumps(JobStatus(job, displayed, done, running))
 
     def _reply_status(self, code: int, job: str, status: str, reply: Reply, *, read: bool = True) -> None:
         """Answer with a status that was read, or learned since.
@@ -71,35 +74,39 @@
         once. Only our view of all records can tell; what it shows is made durable before it is told, since another
         node would else answer older, and a view that may lack a cancellation of long ago tells nothing.
         """
-        known = self._book.active.get(job)
-        if status != ACTIVE or known is None or not known.blocked:
+        known = self._job_index.active.get(job)
+        if status != JobState.ACTIVE or known is None or not known.blocked:
             reply(code, self._status_body(job, status))
-        elif self._book.needs_cancelled(job):
+        elif self._job_index.has_cancelled_dependency(job):
             self.cancel(
                 job, lambda status, body, after=None: reply(code if status == 200 else status, body, after), asked=False
             )
-        elif read and (unknown := self._book.unknown(job)[:MOST_READS]):
+        elif read and (unknown := self._job_index.unknown_dependencies(job)[:MOST_READS]):
             # Over so long that they are not remembered, or not heard of yet.
             self._read_names(
                 unknown,
-                lambda _found: self._reply_status(code, job, self._book.status(job) or status, reply, read=False),
+                lambda _found: self._reply_status(code, job, self._job_index.status(job) or status, reply, read=False),
             )
-        elif known.missing or self._book.unknown(job) or self._book.watcher.age() > self._old_view_s:
-            self._later(reply, "not known at present")
+        elif (
+            known.missing_chunks
+            or self._job_index.unknown_dependencies(job)
+            or self._job_index.watcher.age() > self._old_view_s
+        ):
+            self._reply_retry(reply, "not known at present")
         else:
             reply(code, self._status_body(job, status))
 
-    def _later(self, reply: Reply, why: str, after: float = 1.0, status: int = 503) -> None:
+    def _reply_retry(self, reply: Reply, why: str, after: float = 1.0, status: int = 503) -> None:
         reply(status, error_body(why), max(1, math.ceil(after)))
 
-    def _busy(self, priority: Priority, reply: Reply) -> bool:
+    def _refused_for_load(self, priority: CallPriority, reply: Reply) -> bool:
         """Refuse at once when tokens for the state service are too far off."""
-        if not self._store.served and self._fx.now() - self._store.failed_at < LONGEST_WAIT_S / 4:
-            self._later(reply, "state service unavailable")
+        if not self._store.is_served and self._effects.now() - self._store.failed_at < LONGEST_WAIT_S / 4:
+            self._reply_retry(reply, "state service unavailable")
             return True
         wait = self._store.backlog(priority)
         if wait > LONGEST_WAIT_S:
-            self._later(reply, "overloaded", wait, 429)
+            self._reply_retry(reply, "overloaded", wait, 429)
             return True
         return False
 
@@ -111,30 +118,30 @@
         refusal: tuple[int, str] | None = None
         try:
             spec = parse_job(body)
-            job = spec.name_id
+            job = spec.job_id
         except InvalidJobError as exc:
             if exc.job is None:
                 reply(400, error_body(str(exc)))
                 return
             job = exc.job
             refusal = 400, str(exc)
-        ended = self._book.ended.get(job)
+        ended = self._job_index.ended.get(job)
         if ended is not None:
             reply(200, self._status_body(job, ended[0]))
             return
-        if self._busy(Priority.ADMIT, reply):
+        if self._refused_for_load(CallPriority.ADMIT, reply):
             return
         submission: Submission | None = None
         if spec is not None:
-            why = self._never(spec)
+            why = self._why_never(spec)
             if why is not None:
                 refusal = (422, why)
             else:
-                submission = lay_out(spec, round(self._fx.wall(), 1), self._store)
+                submission = lay_out(spec, round(self._effects.wall(), 1), self._store)
                 why = why_too_large(submission, self._store)
                 refusal = (400, why) if why is not None else None
-        undecided = not self._types or spec is not None and spec.waits_on and not self._versions.all_new
-        if submission is None or refusal is not None or undecided or job in self._book.active:
+        undecided = not self._types or spec is not None and spec.depends_on and not self._versions.all_upgraded
+        if submission is None or refusal is not None or undecided or job in self._job_index.active:
             # Whether it was accepted earlier comes first: what is known of teams and types may change.
             # An active job is read too: by now it may have ended.
             self._answer_known(job, reply, refusal)
@@ -143,8 +150,8 @@
 
     def _accept_after_names(self, submission: Submission, reply: Reply, read: set[str]) -> None:
         """Accept a job once each job that it names is known to have been accepted; those not known here are read."""
-        names = submission.spec.waits_on
-        unknown = [name for name in names if name not in read and self._book.status(name) is None][:MOST_READS]
+        names = submission.spec.depends_on
+        unknown = [name for name in names if name not in read and self._job_index.status(name) is None][:MOST_READS]
         read.update(unknown)
         if not unknown:
             self._accept(submission, reply)
@@ -154,7 +161,7 @@
             if "absent" in found:
                 self._answer_known(submission.job, reply, (422, "waits_on: names a job that was never accepted"))
             elif found.count("known") < len(found):
-                self._later(reply, "not decided yet")
+                self._reply_retry(reply, "not decided yet")
             else:
                 self._accept_after_names(submission, reply, read)
 
@@ -175,20 +182,20 @@
     def _accept(self, submission: Submission, reply: Reply) -> None:
         job = submission.job
 
-        def done(outcome: Outcome, epoch: int, _failed: list[str]) -> None:
+        def done(outcome: Outcome, revision: int, _failed: list[str]) -> None:
             if outcome is Outcome.OK:
-                self._book.learn(job, submission.record, epoch)
-                self._reply_status(201, job, ACTIVE, reply)
+                self._job_index.apply_record(job, submission.record, revision)
+                self._reply_status(201, job, JobState.ACTIVE, reply)
             elif outcome in (Outcome.REFUSED, Outcome.REJECTED):
-                self._later(reply, "state service unavailable")
+                self._reply_retry(reply, "state service unavailable")
             else:
                 # Known already, or nobody knows: read, never guess.
                 self._answer_known(job, reply, None)
 
-        self._store.txn(
+        self._store.transact(
             {job_key(job): 0},
             [state_wire.put(path, value) for path, value in submission.rows],
-            Priority.ADMIT,
+            CallPriority.ADMIT,
             done,
             LONGEST_WAIT_S,
             READ_TIMEOUT_S,
@@ -204,7 +211,7 @@
             elif kind == "absent" and refusal is not None:
                 reply(refusal[0], error_body(refusal[1]))
             else:
-                self._later(reply, "not decided yet")
+                self._reply_retry(reply, "not decided yet")
 
         self._read(job, read)
 
@@ -218,39 +225,39 @@
         def refreshed(fresh: bool) -> None:
             if not fresh:
                 done("unknown", None, 0)
-            elif self._book.status(job) is not None:
+            elif self._job_index.status(job) is not None:
                 done("ok", None, 0)
-            elif self._book.complete:
+            elif self._job_index.is_complete:
                 done("absent", None, 0)
             else:
                 self._read_alone(job, done)
 
-        if self._book.synced:
+        if self._job_index.synced:
             self._read_index.read(refreshed)
         else:
             self._read_alone(job, done)
 
     def _read_alone(self, job: str, done: OnRecord) -> None:
-        self._records.read(job, done, Priority.ADMIT, LONGEST_WAIT_S, READ_TIMEOUT_S)
+        self._records.read(job, done, CallPriority.ADMIT, LONGEST_WAIT_S, READ_TIMEOUT_S)
 
-    def _never(self, spec: JobSpec) -> str | None:
+    def _why_never(self, spec: JobSpec) -> str | None:
         """Why a job can never run; None when it can, or when that is not known yet."""
-        team = self._teams.get(spec.crew)
+        team = self._teams.get(spec.team)
         if team is None:
             return "unknown team"
-        if spec.name_id in spec.waits_on:
+        if spec.job_id in spec.depends_on:
             return "waits_on: a job can't wait for itself"
-        at_once = 1 if spec.shape == ARRAY else spec.plays
-        if 0 < team.cpus_max < at_once * spec.vcpus or 0 < team.gpus_max < at_once * spec.cards:
+        at_once = 1 if spec.kind == JobKind.ARRAY else spec.task_count
+        if 0 < team.cpus_max < at_once * spec.vcpus or 0 < team.gpus_max < at_once * spec.gpus:
             return "the job needs more than the team's limit"
         if not self._types:
             return None
-        for rig in self._types.values():
-            if spec.rigs is not None and rig.name not in spec.rigs:
+        for machine_type in self._types.values():
+            if spec.machine_types is not None and machine_type.name not in spec.machine_types:
                 continue
-            if spec.yard is not None and spec.yard not in rig.yards:
+            if spec.zone is not None and spec.zone not in machine_type.zones:
                 continue
-            if rig.fits(spec.need):
+            if machine_type.fits(spec.resources):
                 break
         else:
             return "a task fits no allowed machine type"
@@ -258,12 +265,12 @@
 
     # -- polls
 
-    def show(self, job: str, reply: Reply) -> None:
+    def answer_poll(self, job: str, reply: Reply) -> None:
         """Answer a poll by a read: what this node remembers of an active job may be older than its last answer."""
         if not valid_job_id(job):
             reply(404, error_body("no such job"))
             return
-        ended = self._book.ended.get(job)
+        ended = self._job_index.ended.get(job)
         if ended is not None:
             reply(200, self._status_body(job, ended[0]))
             return
@@ -275,7 +282,7 @@
             elif kind == "absent":
                 reply(404, error_body("no such job"))
             else:
-                self._later(reply, "state service unavailable")
+                self._reply_retry(reply, "state service unavailable")
 
         self._read(job, read)
 
@@ -287,8 +294,8 @@
         """
         if kind == "unknown":
             return None
-        known = self._book.status(job)
-        return known if known is not None else record.st if record is not None else None
+        known = self._job_index.status(job)
+        return known if known is not None else record.status if record is not None else None
 
     # -- cancellations
 
@@ -297,33 +304,35 @@
         if not valid_job_id(job):
             reply(404, error_body("no such job"))
             return
-        ended = self._book.ended.get(job)
+        ended = self._job_index.ended.get(job)
         if ended is not None:
             reply(200, dumps(JobStatus(job, ended[0])))
             return
-        if asked and self._busy(Priority.ADMIT, reply):
+        if asked and self._refused_for_load(CallPriority.ADMIT, reply):
             return
 
         def read(kind: str, record: JobRecord | None, version: int) -> None:
-            if record is not None and record.st != ACTIVE:
-                self._book.learn(job, record, version)
-                reply(200, dumps(JobStatus(job, record.st)))
+            if record is not None and record.status != JobState.ACTIVE:
+                self._job_index.apply_record(job, record, version)
+                reply(200, dumps(JobStatus(job, record.status)))
             elif record is not None:
-                self._cancel(job, record.t, version, reply, tries)
-            elif kind == "absent" and self._book.status(job) is None:
+                self._cancel(job, record.team, version, reply, tries)
+            elif kind == "absent" and self._job_index.status(job) is None:
                 reply(404, error_body("no such job"))
             else:
-                self._later(reply, "state service unavailable")
+                self._reply_retry(reply, "state service unavailable")
 
-        self._records.fetch(job, read, Priority.ADMIT, LONGEST_WAIT_S, READ_TIMEOUT_S)
+        self._records.fetch(job, read, CallPriority.ADMIT, LONGEST_WAIT_S, READ_TIMEOUT_S)
 
     def _cancel(self, job: str, team: str, version: int, reply: Reply, tries: int) -> None:
         def done(outcome: Outcome, _uncertain: list[str]) -> None:
             if outcome is Outcome.OK:
-                reply(200, dumps(JobStatus(job, CANCELLED)))
+                reply(200, dumps(JobStatus(job, JobState.CANCELLED)))
             elif outcome in (Outcome.REFUSED, Outcome.REJECTED) or tries <= 0:
-                self._later(reply, "state service unavailable")
+                self._reply_retry(reply, "state service unavailable")
             else:
                 self.cancel(job, reply, tries - 1)  # done meanwhile, or nobody knows: read again
 
-        self._records.end({job: (self._records.ended(team, CANCELLED), version)}, done, LONGEST_WAIT_S, READ_TIMEOUT_S)
+        self._records.end(
+            {job: (self._records.ended(team, JobState.CANCELLED), version)}, done, LONGEST_WAIT_S, READ_TIMEOUT_S
+        )
--- a/tealhook/jobs/submissions.py
+++ b/tealhook/admission/submissions.py
@@ -4,9 +4,9 @@
 
 import msgspec
 
-from tealhook.jobs.changes import TXN_BYTES
-from tealhook.jobs.index import ACTIVE, JobRecord, job_key
-from tealhook.store import StateClient
+from tealhook.jobs.index import JobRecord, JobState, job_key
+from tealhook.scheduling.job_writes import TXN_BYTES
+from tealhook.state_store import StateClient
 from tealhook.wire.common import dumps
 from tealhook.wire.users import JobSpec
 
@@ -25,13 +25,13 @@
     @property
     def job(self) -> str:
         """The job's id."""
-        return self.spec.name_id
+        return self.spec.job_id
 
 
 def lay_out(spec: JobSpec, at: float, store: StateClient) -> Submission:
     """Lay out the records of a job accepted at `at`: its own, and those that go on with the names it waits for."""
-    limit, key = int(store.record_bytes), job_key(spec.name_id)
-    names = [(name, len(dumps(name)) + 1) for name in spec.waits_on]
+    limit, key = int(store.record_bytes), job_key(spec.job_id)
+    names = [(name, len(dumps(name)) + 1) for name in spec.depends_on]
 
     def take(room: int) -> list[str]:
         taken = 0
@@ -42,16 +42,16 @@
         del names[:taken]
         return part
 
-    first = msgspec.structs.replace(spec, waits_on=[])
-    record = JobRecord(spec.crew, ACTIVE, first, at)
+    first = msgspec.structs.replace(spec, depends_on=[])
+    record = JobRecord(spec.team, JobState.ACTIVE, first, at)
     bare = len(dumps(msgspec.to_builtins(record))) + len(b',"waits_on":[],"more":100')
-    first.waits_on = take(limit - bare)
+    first.depends_on = take(limit - bare)
     further: list[tuple[str, dict]] = []
-    while names and len(further) < store.txn_ops:
+    while names and len(further) < store.max_operations:
         further.append((f"{key}/{len(further) + 1}", {"w": take(limit - 20)}))
-    record.more = len(further)
+    record.extra_chunks = len(further)
     rows = [(key, msgspec.to_builtins(record)), *further]
-    return Submission(spec, JobRecord(spec.crew, ACTIVE, spec, at), rows)
+    return Submission(spec, JobRecord(spec.team, JobState.ACTIVE, spec, at), rows)
 
 
 def why_too_large(submission: Submission, store: StateClient) -> str | None:
@@ -59,6 +59,6 @@
     sizes = [len(dumps(value)) for _, value in submission.rows]
     if max(sizes) > store.value_bytes:
         return f"too large to be kept: at most {store.value_bytes / 1024:g} KiB without waits_on"
-    if len(sizes) > store.txn_ops or sum(sizes) > TXN_BYTES:
+    if len(sizes) > store.max_operations or sum(sizes) > TXN_BYTES:
         return "too large to be kept: waits_on names too many jobs"
     return None
--- a/tealhook/api.py
+++ b/tealhook/api.py
@@ -2,19 +2,20 @@
 
 from __future__ import annotations
 
+from tealhook.admission.admission import Admission
+from tealhook.coordination import Versions
 from tealhook.gossip import PeerStates
 from tealhook.http import Reply, Request
 from tealhook.jobs import JobIndex
-from tealhook.jobs.admission import Admission
 from tealhook.loop.effects import Effects
 from tealhook.mesh import Mesh
-from tealhook.parts import PartitionManager
+from tealhook.partitions import PartitionManager
 from tealhook.settings import Settings
-from tealhook.store import StateClient, Versions
+from tealhook.state_store import StateClient
 from tealhook.wire import mesh as wire
 from tealhook.wire.common import error_body
-from tealhook.wire.users import InvalidJobError, parse_job
-from tealhook.wire.workers import REPORT_PATH
+from tealhook.wire.job_parser import InvalidJobError, parse_job
+from tealhook.wire.workers import HEARTBEAT_PATH
 
 FORWARD_S = 0.8  # a user gives up on a poll after 2 s; this leaves time to answer it here instead
 
@@ -27,9 +28,9 @@
         effects: Effects,
         settings: Settings,
         store: StateClient,
-        book: JobIndex,
+        job_index: JobIndex,
         mesh: Mesh,
-        parts: PartitionManager,
+        partition_manager: PartitionManager,
         admission: Admission,
         versions: Versions,
         peers: PeerStates,
@@ -41,9 +42,9 @@
         self._effects = effects
         self._workers = settings.params.workers
         self._store = store
-        self._book = book
+        self._job_index = job_index
         self._mesh = mesh
-        self._parts = parts
+        self._partition_manager = partition_manager
         self._admission = admission
         self._versions = versions
         self._peers = peers
@@ -51,25 +52,27 @@
     def on_request(self, request: Request, reply: Reply) -> None:
         """Route a request of a user, a worker or a health check."""
         path = request.target.split("?", 1)[0]
-        if path == REPORT_PATH:
+        if path == HEARTBEAT_PATH:
             if self._method(request, "POST", reply):
-                self._parts.report(request.body, reply)
+                self._partition_manager.on_heartbeat(request.body, reply)
         elif path == "/healthz":
             if self._method(request, "GET", reply):
                 self._healthz(reply)
         elif path == "/work" or path.startswith("/work/"):
-            stand_in = self._stand_in()
+            stand_in = self._stand_in_peer()
             if stand_in is None or not self._decided_alike(request):
                 self.on_user(request, reply)
                 return
 
             def answered(answer: wire.Body | None) -> None:
                 if isinstance(answer, wire.ForwardReply):
-                    reply(answer.status, answer.body, answer.after)
+                    reply(answer.status, answer.body, answer.retry_after_s)
                 else:
                     self.on_user(request, reply)
 
-            self._mesh.call(stand_in, wire.Forward(request.method, request.target, request.body), FORWARD_S, answered)
+            self._mesh.call(
+                stand_in, wire.ForwardRequest(request.method, request.target, request.body), FORWARD_S, answered
+            )
         else:
             reply(404, error_body("no such path"))
 
@@ -79,20 +82,20 @@
         While a peer may run an earlier version, that one would accept a job that waits for others as one that does
         not, and start it at once; or accept a submission that lacks a field.
         """
-        if request.method != "POST" or request.target.split("?", 1)[0] != "/work" or self._versions.all_new:
+        if request.method != "POST" or request.target.split("?", 1)[0] != "/work" or self._versions.all_upgraded:
             return True
         try:
-            return not parse_job(request.body).waits_on
+            return not parse_job(request.body).depends_on
         except InvalidJobError:
             return False
 
-    def _stand_in(self) -> str | None:
+    def _stand_in_peer(self) -> str | None:
         """The peer that decides users' requests while the state service serves it but not us; None: we decide.
 
         This guards against refusing users whom another controller could serve: one that is refused tries again only
         after a second, and perhaps here again.
         """
-        if self._store.served:
+        if self._store.is_served:
             return None
         now = self._effects.now()
         fresh = [
@@ -114,7 +117,7 @@
                 if self._method(request, "POST", reply):
                     self._admission.cancel(job[: -len("/abort")], reply)
             elif self._method(request, "GET", reply):
-                self._admission.show(job, reply)
+                self._admission.answer_poll(job, reply)
 
     @staticmethod
     def _method(request: Request, method: str, reply: Reply) -> bool:
@@ -131,11 +134,11 @@
         """
         now = self._effects.now()
         silence = now - self._store.answered_at
-        if self._book.synced and silence < self._workers.lease_s / 4:
+        if self._job_index.synced and silence < self._workers.lease_s / 4:
             reply(200, b"{}")
             return
         fresh = [at for at in self._peers.served_at.values() if now - at < self._workers.lease_s / 8]
-        if not self._book.synced or fresh:
+        if not self._job_index.synced or fresh:
             reply(503, error_body("no state service"), 1)
         else:
             reply(200, b"{}")
--- a/tealhook/store/stability.py
+++ b/tealhook/coordination/stability.py
@@ -23,7 +23,7 @@
         self._changed_at = now
         self._losses: dict[str, deque[float]] = {}  # node -> when its registration was lost lately
 
-    def note(self, before: Iterable[str], after: Iterable[str], now: float) -> None:
+    def record_change(self, before: Iterable[str], after: Iterable[str], now: float) -> None:
         """The set of live nodes was seen to be another one."""
         was, live = set(before), set(after)
         if was == live:
@@ -32,7 +32,7 @@
         for node in was - live:
             self._losses.setdefault(node, deque(maxlen=MOST_DOUBLINGS + 1)).append(now)
 
-    def settled(self, now: float) -> bool:
+    def is_settled(self, now: float) -> bool:
         """Whether nothing has changed for long enough: twice as long with each further loss of the same node."""
         since = now - MEMORY_LEASES * self._lease_s
         losses = max((sum(at >= since for at in times) for times in self._losses.values()), default=0)
--- a/tealhook/store/versions.py
+++ b/tealhook/coordination/versions.py
@@ -11,10 +11,10 @@
 
 from typing import Any
 
+from tealhook.coordination.ownership import NODE_PREFIX
 from tealhook.loop.effects import Effects
 from tealhook.settings import Settings
-from tealhook.store.client import Outcome, Priority, StateClient
-from tealhook.store.ownership import NODE
+from tealhook.state_store.client import CallPriority, Outcome, StateClient
 from tealhook.wire import state as wire
 
 PREFIX = "version/"
@@ -37,7 +37,7 @@
         self._agreed = False
 
     @property
-    def all_new(self) -> bool:
+    def all_upgraded(self) -> bool:
         """Whether every controller that there is runs this version, or a later one."""
         return self._agreed
 
@@ -51,34 +51,36 @@
     def _read(self) -> None:
         self._store.list(READ_PREFIX, self._on_versions)
 
-    def _on_versions(self, rows: list[wire.Row] | None, _epoch: int) -> None:
+    def _on_versions(self, rows: list[wire.KeyValue] | None, _epoch: int) -> None:
         if rows is None:
             self._read_again(0.5)
             return
-        found = {row.path: row for row in rows if _version(row.v) >= VERSION}
+        found = {row.key: row for row in rows if _version(row.value) >= VERSION}
         self._agreed = self._agreed or AGREED_KEY in found
         mine = found.get(self._key)
-        if mine is None or mine.v != self._value:
-            stamp = next((row.stamp for row in rows if row.path == self._key), 0)
-            self._store.txn({self._key: stamp}, [wire.put(self._key, self._value)], Priority.ADMIT, self._on_written)
+        if mine is None or mine.value != self._value:
+            revision = next((row.mod_revision for row in rows if row.key == self._key), 0)
+            self._store.transact(
+                {self._key: revision}, [wire.put(self._key, self._value)], CallPriority.ADMIT, self._on_written
+            )
             return
         if self._agreed:
             return
-        said = {node: found[PREFIX + node].v.get("b") for node in self._nodes if PREFIX + node in found}
+        said = {node: found[PREFIX + node].value.get("b") for node in self._nodes if PREFIX + node in found}
         if len(said) < len(self._nodes):
             self._read_again(1.0)
         else:
-            self._store.list(NODE, lambda nodes, _epoch: self._on_nodes(said, nodes))
+            self._store.list(NODE_PREFIX, lambda nodes, _epoch: self._on_nodes(said, nodes))
 
-    def _on_nodes(self, said: dict[str, Any], rows: list[wire.Row] | None) -> None:
+    def _on_nodes(self, said: dict[str, Any], rows: list[wire.KeyValue] | None) -> None:
         """Agree if each node's registered process is the one that wrote its version, and still is in the commit."""
-        registered = {row.path[len(NODE) :]: row for row in rows or []}
-        incarnations = {node: _incarnation(row.v) for node, row in registered.items() if node in said}
+        registered = {row.key[len(NODE_PREFIX) :]: row for row in rows or []}
+        incarnations = {node: _incarnation(row.value) for node, row in registered.items() if node in said}
         if incarnations != said:
             self._read_again(0.5)
             return
-        conditions = {NODE + node: registered[node].stamp for node in said} | {AGREED_KEY: 0}
-        self._store.txn(conditions, [wire.put(AGREED_KEY, {"v": VERSION})], Priority.ADMIT, self._on_written)
+        conditions = {NODE_PREFIX + node: registered[node].mod_revision for node in said} | {AGREED_KEY: 0}
+        self._store.transact(conditions, [wire.put(AGREED_KEY, {"v": VERSION})], CallPriority.ADMIT, self._on_written)
 
     def _on_written(self, outcome: Outcome, _epoch: int, _failed: list[str]) -> None:
         self._read_again(0.0 if outcome is Outcome.OK else 0.5)
--- a/tealhook/fleet/boots.py
+++ b/tealhook/fleet/boots.py
@@ -17,7 +17,7 @@
 class Site(NamedTuple):
     """Where machines boot alike: a type in a zone."""
 
-    rig: str
+    machine_type: str
     zone: str
 
 
@@ -39,18 +39,18 @@
         self._learned: dict[Site, _Learned] = {}
         self._overdue: dict[Site, float] = {}
 
-    def came_up(self, rig: MachineType, zone: str, took_s: float, now: float) -> None:
+    def came_up(self, machine_type: MachineType, zone: str, took_s: float, now: float) -> None:
         """A machine came up after so many seconds."""
-        self._learn(rig, zone, took_s / max(rig.ready_s, 1.0), now)
+        self._learn(machine_type, zone, took_s / max(machine_type.boot_s, 1.0), now)
 
-    def never_came_up(self, rig: MachineType, zone: str, now: float) -> None:
+    def never_came_up(self, machine_type: MachineType, zone: str, now: float) -> None:
         """A machine was given up on."""
-        self._learn(rig, zone, FAILED, now)
+        self._learn(machine_type, zone, FAILED, now)
 
-    def _learn(self, rig: MachineType, zone: str, ratio: float, now: float) -> None:
-        site = Site(rig.name, zone)
+    def _learn(self, machine_type: MachineType, zone: str, ratio: float, now: float) -> None:
+        site = Site(machine_type.name, zone)
         known = self._learned.setdefault(site, _Learned(now))
-        before = self._ratio(site, rig, now)
+        before = self._ratio(site, machine_type, now)
         known.ratio = before + WEIGHT * (min(ratio, LONGEST) - before)
         known.at = now
 
@@ -58,21 +58,21 @@
         """The machines that are starting are looked at anew."""
         self._overdue.clear()
 
-    def still_starting(self, rig: MachineType, zone: str, age_s: float) -> None:
+    def still_starting(self, machine_type: MachineType, zone: str, age_s: float) -> None:
         """A machine has been starting for so long: one that is overdue tells of the others there before it is up."""
-        ratio = age_s / max(rig.ready_s, 1.0)
+        ratio = age_s / max(machine_type.boot_s, 1.0)
         if ratio > OVERDUE:
-            site = Site(rig.name, zone)
+            site = Site(machine_type.name, zone)
             self._overdue[site] = max(self._overdue.get(site, 0.0), min(ratio, LONGEST))
 
-    def _ratio(self, site: Site, rig: MachineType, now: float) -> float:
+    def _ratio(self, site: Site, machine_type: MachineType, now: float) -> float:
         known = self._learned.get(site)
         if known is None:
             return 1.0
-        left = math.exp(-max(0.0, now - known.at) / (MEMORY_BOOTS * max(rig.ready_s, 1.0)))
+        left = math.exp(-max(0.0, now - known.at) / (MEMORY_BOOTS * max(machine_type.boot_s, 1.0)))
         return 1.0 + left * (known.ratio - 1.0)
 
-    def expected_s(self, rig: MachineType, zone: str, now: float) -> float:
+    def expected_s(self, machine_type: MachineType, zone: str, now: float) -> float:
         """Seconds that a machine rented now should take to come up."""
-        site = Site(rig.name, zone)
-        return rig.ready_s * max(self._ratio(site, rig, now), self._overdue.get(site, 0.0))
+        site = Site(machine_type.name, zone)
+        return machine_type.boot_s * max(self._ratio(site, machine_type, now), self._overdue.get(site, 0.0))
--- a/tealhook/fleet/cloud_calls.py
+++ b/tealhook/fleet/cloud_calls.py
@@ -8,6 +8,7 @@
 
 import msgspec
 
+from tealhook.coordination import Ownership, partition_key
 from tealhook.fleet.boots import BootTimes
 from tealhook.fleet.machine_types import TypesStore
 from tealhook.fleet.machines import RentedMachine
@@ -15,9 +16,9 @@
 from tealhook.loop.effects import Effects
 from tealhook.mesh import Mesh
 from tealhook.settings import Policy, Settings
-from tealhook.store import Ownership, StateClient, part_key
+from tealhook.state_store import StateClient
 from tealhook.wire import cloud as wire
-from tealhook.wire.workers import UNANSWERED_S
+from tealhook.wire.workers import FAILOVER_S
 
 log = logging.getLogger("tealhook.fleet")
 
@@ -47,10 +48,10 @@
         on_gone: Callable[[list[str]], Any],
     ) -> None:
         """`types` is filled in place; `variables` gives the policy's figures; `on_gone` hears of proven releases."""
-        self._fx = effects
+        self._effects = effects
         self._settings = settings
         self._policy = policy
-        self._own = ownership
+        self._ownership = ownership
         self._store = store
         self._mesh = mesh
         self._types = types
@@ -71,7 +72,7 @@
         self._fences: dict[str, float] = {}  # machines to be released, and since when
         self._fences_from = -1e9  # until then nothing is released
         self._mute_since: float | None = None  # since when the cloud has not answered
-        self._began = self._fx.now()
+        self._began = self._effects.now()
         self._calling = 0
         self._types_at = -1e9
         self._stored_types: set[tuple] | None = None  # as written by us under this ownership
@@ -79,18 +80,18 @@
 
     def _note_up(self, machine: RentedMachine, now: float) -> None:
         """A machine that was starting is up: by its reports, or by the list, whichever shows it first."""
-        machine.status, machine.up_at = "running", now
-        if machine.rig in self._types:
-            self._boots.came_up(self._types[machine.rig], machine.yard, now - machine.born, now)
+        machine.status, machine.up_at = wire.MachineStatus.RUNNING, now
+        if machine.machine_type in self._types:
+            self._boots.came_up(self._types[machine.machine_type], machine.zone, now - machine.requested_at, now)
 
     def _call(self, method: str, target: str, body: bytes | None, answer: CloudAnswer) -> None:
         """Send one request to the cloud; its answer is dropped when the ownership has changed meanwhile."""
         self._calling += 1
-        token, asked = self._token, self._fx.now()
+        token, asked = self._token, self._effects.now()
 
         def answered(status: int | None, data: bytes) -> None:
             if status == 429:
-                self._bucket.drain(self._fx.now())
+                self._bucket.drain(self._effects.now())
             if status is None:
                 self._mute_since = asked if self._mute_since is None else self._mute_since
             elif self._mute_since is not None:
@@ -98,7 +99,7 @@
             if self._token == token:
                 answer(status, data)
 
-        self._fx.cloud(method, target, body, CALL_TIMEOUT_S, answered)
+        self._effects.cloud(method, target, body, CALL_TIMEOUT_S, answered)
 
     def _cloud_is_back(self) -> None:
         """The cloud answers after it had not: what was silent meanwhile may have been behind the same cut as we.
@@ -106,10 +107,10 @@
         Releases sent into a cut that holds packets were executed when it healed: they took 250 machines that were about
         to come back. So none is sent while the cloud is mute, and then workers have time to be heard of again.
         """
-        workers, now = self._settings.params.workers, self._fx.now()
+        workers, now = self._settings.params.workers, self._effects.now()
         if self._mute_since is not None and now - self._mute_since > workers.lease_s / 2:
             self._fences.clear()  # whoever wants one still will say so again
-            self._fences_from = now + 2 * workers.report_s + UNANSWERED_S
+            self._fences_from = now + 2 * workers.report_s + FAILOVER_S
         self._mute_since = None
 
     # -- machine types: read by every node, asked for by the owner
@@ -117,22 +118,22 @@
     def _read_types(self) -> None:
         """Read the types from the state service until they are known."""
 
-        def done(rigs: list[wire.MachineType] | None) -> None:
-            if not self._types and rigs is not None:
-                self._take_types(rigs)
+        def done(machine_types: list[wire.MachineType] | None) -> None:
+            if not self._types and machine_types is not None:
+                self._take_types(machine_types)
             if not self._types:
-                self._fx.later(0.3, self._read_types)
+                self._effects.later(0.3, self._read_types)
 
         if not self._types:
             self._types_store.read(done)
 
-    def _take_types(self, rigs: list[wire.MachineType]) -> None:
+    def _take_types(self, machine_types: list[wire.MachineType]) -> None:
         """Replace the types on offer, and take note of their zones."""
         self._types.clear()
-        for rig in rigs:
-            self._types[rig.name] = rig
-            for zone in rig.yards:
-                self._own.add(part_key(zone))
+        for machine_type in machine_types:
+            self._types[machine_type.name] = machine_type
+            for zone in machine_type.zones:
+                self._ownership.add_key(partition_key(zone))
 
     def _ask_types(self) -> None:
         """Ask the cloud for the types on offer, and store them when they have changed."""
@@ -142,19 +143,22 @@
             if status != 200:
                 return
             try:
-                found = wire.types_decoder.decode(body)
+                found = wire.machine_types_decoder.decode(body)
             except msgspec.DecodeError as exc:
                 log.error("cloud: bad machine types: %s", exc)
                 return
-            self._types_at = self._fx.now()
-            self._take_types(found.rigs)
-            kinds = {(rig.name, rig.vcpus, rig.memory_gb, tuple(rig.yards)) for rig in found.rigs}
+            self._types_at = self._effects.now()
+            self._take_types(found.machine_types)
+            kinds = {
+                (machine_type.name, machine_type.vcpus, machine_type.memory_gb, tuple(machine_type.zones))
+                for machine_type in found.machine_types
+            }
             if kinds != self._stored_types and not self._storing_types:
-                self._store_types(found.rigs, kinds)
+                self._store_types(found.machine_types, kinds)
 
         self._call("GET", "/machine_types", None, answer)
 
-    def _store_types(self, rigs: list[wire.MachineType], kinds: set[tuple]) -> None:
+    def _store_types(self, machine_types: list[wire.MachineType], kinds: set[tuple]) -> None:
         """Tell the other nodes of the machine types; again and again until that is certain.
 
         One lost write once left nodes without them for good: their machines had no room, and no job began.
@@ -171,6 +175,6 @@
             if certain:
                 self._stored_types = kinds
             else:
-                self._types_at = self._fx.now() - TYPES_LAGS * self._lag + TYPES_AGAIN_S
+                self._types_at = self._effects.now() - TYPES_LAGS * self._lag + TYPES_AGAIN_S
 
-        self._types_store.replace(token, rigs, done)
+        self._types_store.replace(token, machine_types, done)
--- a/tealhook/fleet/demand.py
+++ b/tealhook/fleet/demand.py
@@ -8,8 +8,8 @@
 
 from tealhook.settings import Settings
 from tealhook.wire.cloud import MachineType
-from tealhook.wire.mesh import Demand, Shape
-from tealhook.wire.users import URGENCY_RANK
+from tealhook.wire.mesh import Demand, TaskRequirements
+from tealhook.wire.users import STANDARD_RANK
 
 WINDOW_BOOTS = 1  # lately: so many boots
 LATE_SLACK = 3.0  # by so much more time the objectives would just be met
@@ -24,10 +24,14 @@
     placed: list[Demand] = field(default_factory=list)
 
 
-def slots_per_machine(rig: MachineType, shape: Shape) -> int:
+def slots_per_machine(machine_type: MachineType, shape: TaskRequirements) -> int:
     """Tasks of a shape that fit an empty machine of a type."""
     count = math.inf
-    pairs = ((rig.vcpus, shape.vcpus), (rig.cards, shape.cards), (rig.memory_gb, shape.memory_gb))
+    pairs = (
+        (machine_type.vcpus, shape.vcpus),
+        (machine_type.gpus, shape.gpus),
+        (machine_type.memory_gb, shape.memory_gb),
+    )
     for have, need in pairs:
         if need > 0:
             count = min(count, int((have + 1e-6) / need))
@@ -37,12 +41,12 @@
 def machine_cpus(types: dict[str, MachineType], demand: Demand) -> float:
     """CPUs of whole machines that a demand fills, on the type that suits it best."""
     best = math.inf
-    for rig in types.values():
-        if demand.shape.rigs and rig.name not in demand.shape.rigs:
+    for machine_type in types.values():
+        if demand.requirements.machine_types and machine_type.name not in demand.requirements.machine_types:
             continue
-        count = slots_per_machine(rig, demand.shape)
+        count = slots_per_machine(machine_type, demand.requirements)
         if count:
-            best = min(best, demand.count * rig.vcpus / count)
+            best = min(best, demand.count * machine_type.vcpus / count)
     return 0.0 if best is math.inf else best
 
 
@@ -51,10 +55,10 @@
 
     def __init__(self, settings: Settings, boot_s: float) -> None:
         """`boot_s`: how long a machine takes to come up."""
-        self._within = {lineup: within[0] for lineup, within in settings.done_within().items()}
+        self._within = {job_class: within[0] for job_class, within in settings.done_within().items()}
         self._boot_s = boot_s
 
-    def seconds(self, lineup: str, urgent: bool, late: bool = False) -> float:
+    def seconds(self, job_class: str, urgent: bool, late: bool = False) -> float:
         """A third of what the objective allows: the rest is for its boots, its tail and what comes next.
 
         Urgent work that waits for boots anyway is worked off in less than another boot. `late`: the longest
@@ -63,7 +67,7 @@
         slack = LATE_SLACK if late else 1.0
         if urgent:
             return slack * URGENT_BOOTS * self._boot_s
-        return slack * max(self._boot_s, self._within.get(lineup, 12 * self._boot_s) / 3)
+        return slack * max(self._boot_s, self._within.get(job_class, 12 * self._boot_s) / 3)
 
 
 def backlog_cpus(types: dict[str, MachineType], demand: Demand, horizon: Horizon, late: bool = False) -> float:
@@ -71,8 +75,8 @@
     whole = machine_cpus(types, demand)
     if demand.count <= 0:
         return 0.0
-    urgent = demand.shape.urgency > URGENCY_RANK["standard"]
-    share = min(1.0, max(demand.shape.run_s, 1.0) / horizon.seconds(demand.lineup, urgent, late))
+    urgent = demand.requirements.priority > STANDARD_RANK
+    share = min(1.0, max(demand.requirements.run_s, 1.0) / horizon.seconds(demand.job_class, urgent, late))
     return max(whole * share, whole / demand.count)
 
 
--- a/tealhook/fleet/draining.py
+++ b/tealhook/fleet/draining.py
@@ -8,10 +8,10 @@
 from operator import attrgetter
 from typing import NamedTuple
 
+from tealhook.coordination import partition_key
 from tealhook.fleet.machines import RentedMachine, cpu_price
 from tealhook.fleet.releasing import Releasing
 from tealhook.fleet.renting import DEAR
-from tealhook.store import part_key
 from tealhook.wire import cloud as wire
 from tealhook.wire import mesh as mesh_wire
 
@@ -36,7 +36,7 @@
     """
 
     machine: RentedMachine
-    rig: wire.MachineType
+    machine_type: wire.MachineType
     price: float  # of a CPU
     order: tuple[int, float, float, str]
 
@@ -51,7 +51,7 @@
 
     def _drain(
         self,
-        states: dict[str, mesh_wire.BoxState],
+        states: dict[str, mesh_wire.MachineState],
         surplus: float,
         keep_ordinary: float,
         variables: dict[str, float],
@@ -65,19 +65,21 @@
         self._surplus.append(SurplusSample(now, surplus))
         while self._surplus[0].at < now - idle_return_s:
             self._surplus.popleft()
-        prices = [cpu_price(rig, spot) for rig in self._types.values() for spot in (True, False)]
+        prices = [cpu_price(machine_type, spot) for machine_type in self._types.values() for spot in (True, False)]
         cheapest = min((price for price in prices if price > 0), default=0.0)
         wanted: dict[str, set[str]] = {}
         spare: list[SpareMachine] = []
         for machine in self._machines.values():
             state = states.get(machine.name)
             # One that is fenced must not be used before it is gone.
-            if machine.name in self._fences or (state is not None and state.sick and machine.rig in self._types):
-                wanted.setdefault(machine.yard, set()).add(machine.name)
+            if machine.name in self._fences or (
+                state is not None and state.unhealthy and machine.machine_type in self._types
+            ):
+                wanted.setdefault(machine.zone, set()).add(machine.name)
             elif state is not None and (found := self._as_spare(machine, state, cheapest, now)) is not None:
                 spare.append(found)
         for machine in self._choose(spare, keep_ordinary, idle_return_s, cheapest, now):
-            wanted.setdefault(machine.yard, set()).add(machine.name)
+            wanted.setdefault(machine.zone, set()).add(machine.name)
         self._tell(wanted)
         for names in wanted.values():
             for name in sorted(names - self._fences.keys()):
@@ -88,15 +90,15 @@
             self._release(now)
 
     def _as_spare(
-        self, machine: RentedMachine, state: mesh_wire.BoxState, cheapest: float, now: float
+        self, machine: RentedMachine, state: mesh_wire.MachineState, cheapest: float, now: float
     ) -> SpareMachine | None:
         """The machine as one that may be returned; None when it may not."""
-        rig = self._types.get(machine.rig)
-        if rig is None or state.doomed or now - machine.born < LEAST_PAID_S:
+        machine_type = self._types.get(machine.machine_type)
+        if machine_type is None or state.terminating or now - machine.requested_at < LEAST_PAID_S:
             return None
-        price = cpu_price(rig, machine.loaners)
+        price = cpu_price(machine_type, machine.spot)
         dear = int(math.log(max(1.0, price / cheapest), DEAR)) if cheapest else 0
-        return SpareMachine(machine, rig, price, order=(-dear, state.empty_s, -price, machine.name))
+        return SpareMachine(machine, machine_type, price, order=(-dear, state.empty_s, -price, machine.name))
 
     def _choose(
         self, spare: list[SpareMachine], keep_ordinary: float, idle_return_s: float, cheapest: float, now: float
@@ -104,27 +106,27 @@
         """The machines that the surplus of late allows to return."""
         chosen: list[RentedMachine] = []
         taken = 0.0
-        left = sum(item.rig.vcpus for item in spare if not item.machine.loaners)
+        left = sum(item.machine_type.vcpus for item in spare if not item.machine.spot)
         lasted: dict[float, float] = {}  # by price: a fleet has hundreds of machines, but few prices
         for item in sorted(spare, key=attrgetter("order")):
             patience = idle_return_s * (cheapest / item.price if item.price > 0 else 1.0)
             if item.price not in lasted:
                 lasted[item.price] = min(cpus for at, cpus in self._surplus if at >= now - patience)
-            if lasted[item.price] - taken < item.rig.vcpus or now - self._began < patience:
+            if lasted[item.price] - taken < item.machine_type.vcpus or now - self._began < patience:
                 continue
-            if not item.machine.loaners:
-                if left - item.rig.vcpus < keep_ordinary:
+            if not item.machine.spot:
+                if left - item.machine_type.vcpus < keep_ordinary:
                     continue
-                left -= item.rig.vcpus
-            taken += item.rig.vcpus
+                left -= item.machine_type.vcpus
+            taken += item.machine_type.vcpus
             chosen.append(item.machine)
         return chosen
 
     def _tell(self, wanted: dict[str, set[str]]) -> None:
         """Tell the owners of parts which machines are to be drained, and those that had some that none is."""
         for zone in sorted(wanted.keys() | self._drains.keys()):
-            owner = self._own.owner(part_key(zone))
+            owner = self._ownership.owner(partition_key(zone))
             names = wanted.get(zone, set())
             if owner is not None and (names or self._drains.get(zone)):
-                self._mesh.send(owner, mesh_wire.Drain(zone, sorted(names)))
+                self._mesh.send(owner, mesh_wire.DrainRequest(zone, sorted(names)))
         self._drains = wanted
--- a/tealhook/fleet/listing.py
+++ b/tealhook/fleet/listing.py
@@ -6,9 +6,9 @@
 
 import msgspec
 
+from tealhook.coordination import partition_key
 from tealhook.fleet.cloud_calls import CloudCalls
 from tealhook.fleet.machines import RentedMachine
-from tealhook.store import part_key
 from tealhook.wire import cloud as wire
 
 log = logging.getLogger("tealhook.fleet")
@@ -31,8 +31,8 @@
         found: dict[str, dict[str, str]] = {}
         if self._token is not None:
             for machine in self._machines.values():
-                if machine.addr and machine.status == "running":
-                    found.setdefault(machine.yard, {})[machine.name] = machine.addr
+                if machine.address and machine.status == wire.MachineStatus.RUNNING:
+                    found.setdefault(machine.zone, {})[machine.name] = machine.address
         return found
 
     def _list_in_time(self, now: float) -> None:
@@ -43,7 +43,7 @@
             self._listed_at = now
             self._list("", [])
 
-    def _list(self, after: str, found: list[wire.Listed]) -> None:
+    def _list(self, after: str, found: list[wire.ListedMachine]) -> None:
         """Ask for the page after a machine; `found`: what the pages before it held."""
         self._listing = True
 
@@ -53,53 +53,53 @@
             if status != 200:
                 return
             try:
-                part = wire.listing_decoder.decode(body)
+                part = wire.machine_list_decoder.decode(body)
             except msgspec.DecodeError as exc:
                 log.error("cloud: bad list: %s", exc)
                 return
-            found.extend(part.boxes)
-            if part.more and part.boxes:
-                self._list_on(part.boxes[-1].name_id, found)
+            found.extend(part.machines)
+            if part.more and part.machines:
+                self._list_on(part.machines[-1].name, found)
             else:
                 self._take_list(found)
 
         self._call("GET", f"/rentals?after={after}&page={wire.LIST_PAGE}", None, answer)
 
-    def _list_on(self, after: str, found: list[wire.Listed]) -> None:
+    def _list_on(self, after: str, found: list[wire.ListedMachine]) -> None:
         """The next page, once the cloud may be called: one refused page would cost the whole list."""
-        now, token = self._fx.now(), self._token
+        now, token = self._effects.now(), self._token
         self._listing = True
         self._pages = 1 + len(found) // wire.LIST_PAGE
         if self._bucket.take(1, now):
             self._list(after, found)
         else:
             pause = max(0.01, self._bucket.wait(1, now))
-            self._fx.later(pause, lambda: self._list_on(after, found) if self._token == token else None)
+            self._effects.later(pause, lambda: self._list_on(after, found) if self._token == token else None)
 
-    def _take_list(self, listed: list[wire.Listed]) -> None:
+    def _take_list(self, listed: list[wire.ListedMachine]) -> None:
         """Compare a whole list with the machines that are known."""
-        now = self._fx.now()
+        now = self._effects.now()
         self._list_ok = True
         names = set()
         for item in listed:
-            names.add(item.name_id)
-            if item.name_id in self._dead:
+            names.add(item.name)
+            if item.name in self._dead:
                 continue
-            self._own.add(part_key(item.yard))
-            machine = self._machines.get(item.name_id)
+            self._ownership.add_key(partition_key(item.zone))
+            machine = self._machines.get(item.name)
             if machine is None:
                 # Not expected: a request executed late, or an earlier owner's. It is used like any other.
-                machine = RentedMachine(item.name_id, item.rig, item.yard, item.loaners, now - item.age_s)
-                self._machines[item.name_id] = machine
+                machine = RentedMachine(item.name, item.machine_type, item.zone, item.spot, now - item.age_s)
+                self._machines[item.name] = machine
             machine.listed = True
-            machine.addr = item.addr
-            machine.absent_at = None
-            if item.status == "failed":
+            machine.address = item.address
+            machine.missing_since = None
+            if item.status == wire.MachineStatus.FAILED:
                 # It has stopped of its own accord; releasing it takes it off the list, and is the proof.
                 self._fences.setdefault(machine.name, now)
-            elif item.status == "running" and machine.status == "starting":
+            elif item.status == wire.MachineStatus.RUNNING and machine.status == wire.MachineStatus.STARTING:
                 self._note_up(machine, now)
         for name, machine in self._machines.items():
             # Taken back, or the list is an older one: alone this proves nothing.
-            if machine.listed and name not in names and machine.absent_at is None:
-                machine.absent_at = now
+            if machine.listed and name not in names and machine.missing_since is None:
+                machine.missing_since = now
--- a/tealhook/fleet/machine_types.py
+++ b/tealhook/fleet/machine_types.py
@@ -27,8 +27,9 @@
 
 import msgspec
 
-from tealhook.jobs.commits import TXN_BYTES
-from tealhook.store import FLEET, Outcome, Priority, StateClient
+from tealhook.coordination import FLEET_KEY
+from tealhook.scheduling.commits import TXN_BYTES
+from tealhook.state_store import CallPriority, Outcome, StateClient
 from tealhook.wire import state as state_wire
 from tealhook.wire.cloud import MachineType
 from tealhook.wire.common import dumps
@@ -70,27 +71,27 @@
 class StoredTypes:
     """The records as they were read, at one revision."""
 
-    first: state_wire.Row | None = None
-    further: dict[int, state_wire.Row] = field(default_factory=dict)
+    first: state_wire.KeyValue | None = None
+    further: dict[int, state_wire.KeyValue] = field(default_factory=dict)
 
     @classmethod
-    def from_rows(cls, rows: list[state_wire.Row]) -> StoredTypes:
+    def from_rows(cls, rows: list[state_wire.KeyValue]) -> StoredTypes:
         """Sort the rows under `fleet/types`; others are left out."""
         stored = cls()
         for row in rows:
-            if row.path == TYPES_KEY:
+            if row.key == TYPES_KEY:
                 stored.first = row
-            elif (number := _number(row.path)) is not None:
+            elif (number := _number(row.key)) is not None:
                 stored.further[number] = row
         return stored
 
     @property
     def first_stamp(self) -> int:
         """The first record's stamp; 0 while there is none."""
-        return self.first.stamp if self.first is not None else 0
+        return self.first.mod_revision if self.first is not None else 0
 
     def _first_record(self) -> TypesRecord:
-        return msgspec.convert(self.first.v if self.first is not None else None, TypesRecord)
+        return msgspec.convert(self.first.value if self.first is not None else None, TypesRecord)
 
     def types(self) -> list[MachineType] | None:
         """The types on offer; None when the list is not there, not whole, or can't be read."""
@@ -102,13 +103,13 @@
             if missing is not None:
                 log.error("machine types: no record %s", further_key(missing))
                 return None
-            others = [msgspec.convert(self.further[number].v, TypesRecord) for number in first.further]
+            others = [msgspec.convert(self.further[number].value, TypesRecord) for number in first.further]
         except msgspec.ValidationError as exc:
             log.error("bad machine types: %s", exc)
             return None
-        return [rig for record in (first, *others) for rig in record.rigs]
+        return [machine_type for record in (first, *others) for machine_type in record.rigs]
 
-    def surplus(self) -> list[state_wire.Row]:
+    def surplus(self) -> list[state_wire.KeyValue]:
         """Further records that the first does not name."""
         named = self._first_record().further
         return [row for number, row in sorted(self.further.items()) if number not in named]
@@ -142,13 +143,13 @@
     """The first record and those that go on with what it can't hold."""
     records = [first]
     size = len(dumps(records[0]))
-    for rig in rigs:
-        added = len(dumps(rig)) + 1  # with a comma
+    for machine_type in rigs:
+        added = len(dumps(machine_type)) + 1  # with a comma
         if records[-1].rigs and size + added > most_bytes:
             records.append(TypesRecord([]))
             size = len(dumps(records[-1]))
         size += added if records[-1].rigs else added - 1
-        records[-1].rigs.append(rig)
+        records[-1].rigs.append(machine_type)
     return records
 
 
@@ -172,8 +173,8 @@
     return [*created, replaced, *_drops(list(stored.further.values()))]
 
 
-def _drops(rows: list[state_wire.Row]) -> list[Change]:
-    return [Change(row.path, row.stamp, state_wire.drop(row.path)) for row in rows]
+def _drops(rows: list[state_wire.KeyValue]) -> list[Change]:
+    return [Change(row.key, row.mod_revision, state_wire.drop(row.key)) for row in rows]
 
 
 def first_transaction(changes: list[Change], most: int) -> tuple[list[Change], list[Change]]:
@@ -237,7 +238,7 @@
         self._store.list(
             TYPES_KEY,
             lambda rows, _epoch: done(StoredTypes.from_rows(rows) if rows is not None else None),
-            priority=Priority.ADMIT,
+            priority=CallPriority.ADMIT,
             wait=READ_WAIT_S,
             timeout=READ_TIMEOUT_S,
         )
@@ -247,15 +248,15 @@
 
         `done` with whether all are, and with the stamp that the first has then.
         """
-        group, rest = first_transaction(changes, self._store.txn_ops)
-        when = {FLEET: token, TYPES_KEY: first_stamp} | {change.key: change.stamp for change in group}
+        group, rest = first_transaction(changes, self._store.max_operations)
+        when = {FLEET_KEY: token, TYPES_KEY: first_stamp} | {change.key: change.stamp for change in group}
 
-        def answered(outcome: Outcome, epoch: int, _failed: list[str]) -> None:
+        def answered(outcome: Outcome, revision: int, _failed: list[str]) -> None:
             replaced = any(change.key == TYPES_KEY for change in group)
-            stamp = epoch if replaced else first_stamp
+            stamp = revision if replaced else first_stamp
             if outcome is Outcome.OK and rest:
                 self._carry_out(token, stamp, rest, done)
             else:
                 done(outcome is Outcome.OK, stamp)
 
-        self._store.txn(when, [change.operation for change in group], Priority.ADMIT, answered)
+        self._store.transact(when, [change.operation for change in group], CallPriority.ADMIT, answered)
--- a/tealhook/fleet/machines.py
+++ b/tealhook/fleet/machines.py
@@ -5,13 +5,13 @@
 from dataclasses import dataclass
 from typing import NamedTuple
 
-from tealhook.wire.cloud import MachineType
+from tealhook.wire.cloud import MachineStatus, MachineType
 
 
 class Option(NamedTuple):
     """One kind of machine that can be rented: a type in a zone, spot or ordinary."""
 
-    rig: str
+    machine_type: str
     zone: str
     spot: bool
 
@@ -21,18 +21,18 @@
     """A machine that we rent."""
 
     name: str
-    rig: str
-    yard: str
-    loaners: bool
-    born: float
-    status: str = "starting"
+    machine_type: str
+    zone: str
+    spot: bool
+    requested_at: float
+    status: str = MachineStatus.STARTING
     up_at: float = 0.0
-    addr: str = ""
-    told_at: float = 0.0  # when its part's owner last told of it, or could not
+    address: str = ""
+    reported_at: float = 0.0  # when its part's owner last told of it, or could not
     listed: bool = False
-    absent_at: float | None = None  # listed before, not in any list since then
+    missing_since: float | None = None  # listed before, not in any list since then
 
 
-def cpu_price(rig: MachineType, spot: bool) -> float:
+def cpu_price(machine_type: MachineType, spot: bool) -> float:
     """What a CPU of a type costs by the hour."""
-    return (rig.spot_price if spot else rig.hourly) / max(rig.vcpus, 1e-6)
+    return (machine_type.spot_price if spot else machine_type.hourly_price) / max(machine_type.vcpus, 1e-6)
--- a/tealhook/fleet/manager.py
+++ b/tealhook/fleet/manager.py
@@ -11,6 +11,7 @@
 from collections.abc import Callable
 from typing import Any
 
+from tealhook.coordination import Ownership
 from tealhook.fleet.cloud_calls import TYPES_LAGS
 from tealhook.fleet.demand import DemandHistory, Horizon, OrdinaryDemand
 from tealhook.fleet.draining import Draining
@@ -19,7 +20,7 @@
 from tealhook.loop.effects import Effects
 from tealhook.mesh import Mesh
 from tealhook.settings import Policy, Settings
-from tealhook.store import Ownership, StateClient
+from tealhook.state_store import StateClient
 from tealhook.wire import cloud as wire
 from tealhook.wire import mesh as mesh_wire
 
@@ -56,7 +57,7 @@
         self._cold = False
         self._last = FleetView()
 
-    def owned(self, token: int | None) -> None:
+    def on_ownership_change(self, token: int | None) -> None:
         """Ownership of the fleet came or went."""
         self._token = token
         self._reset()
@@ -64,10 +65,10 @@
 
     def _step(self) -> None:
         """Make the calls that are due: types, releases, a list. Repeats itself."""
-        self._fx.later(self._step_every * (0.9 + 0.2 * self._fx.rng.random()), self._step)
-        if self._token is None or self._own.lease_uncertain:
+        self._effects.later(self._step_every * (0.9 + 0.2 * self._effects.rng.random()), self._step)
+        if self._token is None or self._ownership.lease_uncertain:
             return
-        now = self._fx.now()
+        now = self._effects.now()
         for name, when in list(self._dead.items()):
             if now - when > 6 * self._lag:
                 del self._dead[name]
@@ -85,8 +86,8 @@
 
     def plan(
         self,
-        states: dict[str, mesh_wire.BoxState],
-        usage: list[mesh_wire.Usage],
+        states: dict[str, mesh_wire.MachineState],
+        usage: list[mesh_wire.TeamUsage],
         demand: list[mesh_wire.Demand],
         zones: set[str],
         ordinary_for: OrdinaryDemand | None = None,
@@ -96,16 +97,21 @@
         `zones`: those whose owner has told us of its machines lately. `ordinary_for`: tasks that may not use
         spot machines.
         """
-        if self._token is None or not self._types or not (self._list_ok or self._cold) or self._own.lease_uncertain:
+        if (
+            self._token is None
+            or not self._types
+            or not (self._list_ok or self._cold)
+            or self._ownership.lease_uncertain
+        ):
             return
-        now = self._fx.now()
+        now = self._effects.now()
         self._last = FleetView(states, usage, demand, ordinary_for or OrdinaryDemand())
         self._watch_health(states, zones, now)
         self._balance(self._last, now)
 
     def _rent_rest(self) -> None:
         """A request is answered: ask for what else is missing."""
-        self._balance(self._last, self._fx.now())
+        self._balance(self._last, self._effects.now())
 
     def _balance(self, view: FleetView, now: float) -> None:
         """Rent what is missing, and return what is too much."""
@@ -137,39 +143,43 @@
     def _ready_cpus(self, variables: dict[str, float]) -> float:
         """CPUs that the policy wants ready whatever is taken."""
         ready = self._policy.value("ready_cpus", variables)
-        if ready < WORTH_KEEPING * min(rig.vcpus for rig in self._types.values()):
+        if ready < WORTH_KEEPING * min(machine_type.vcpus for machine_type in self._types.values()):
             # A smoothed figure never comes to nothing: the last machine was kept for a trillionth of a CPU.
             return 0.0
         return ready
 
-    def _supply(self, states: dict[str, mesh_wire.BoxState], now: float) -> Supply:
+    def _supply(self, states: dict[str, mesh_wire.MachineState], now: float) -> Supply:
         """What the machines have that can be counted on."""
         supply = Supply()
         for machine in self._machines.values():
-            rig = self._types.get(machine.rig)
+            machine_type = self._types.get(machine.machine_type)
             state = states.get(machine.name)
-            if rig is None or machine.name in self._fences or (state is not None and self._is_unreliable(state)):
+            if (
+                machine_type is None
+                or machine.name in self._fences
+                or (state is not None and self._is_unreliable(state))
+            ):
                 continue
-            if machine.status == "running":
-                supply.up += rig.vcpus
-            elif now - machine.born <= LATE_BOOT * rig.ready_s + self._lag:
-                supply.coming += rig.vcpus
-            if machine.loaners:
-                supply.spot += rig.vcpus
+            if machine.status == wire.MachineStatus.RUNNING:
+                supply.up += machine_type.vcpus
+            elif now - machine.requested_at <= LATE_BOOT * machine_type.boot_s + self._lag:
+                supply.coming += machine_type.vcpus
+            if machine.spot:
+                supply.spot += machine_type.vcpus
             else:
-                supply.ordinary += rig.vcpus - (state.used if state is not None else 0.0)
-                supply.whole += rig.vcpus
+                supply.ordinary += machine_type.vcpus - (state.used_cpus if state is not None else 0.0)
+                supply.whole += machine_type.vcpus
         return supply
 
-    def _is_unreliable(self, state: mesh_wire.BoxState) -> bool:
+    def _is_unreliable(self, state: mesh_wire.MachineState) -> bool:
         """Whether a machine is not counted on: it is to go, fails its tasks, or is silent."""
-        return state.doomed or state.sick or state.heard_s > self._settings.params.workers.lease_s
+        return state.terminating or state.unhealthy or state.silent_s > self._settings.params.workers.lease_s
 
 
 def _log_balance(supply: Supply, need: Need, ready: float, demand: list[mesh_wire.Demand]) -> None:
     classes: dict[str, int] = {}
     for item in demand:
-        classes[item.lineup] = classes.get(item.lineup, 0) + item.count
+        classes[item.job_class] = classes.get(item.job_class, 0) + item.count
     log.debug(
         "fleet: up %g coming %g used %g waiting %g ready %g; tasks waiting: %s",
         supply.up,
--- a/tealhook/fleet/releasing.py
+++ b/tealhook/fleet/releasing.py
@@ -30,15 +30,15 @@
             if name in self._dead:
                 self._on_gone([name])
             else:
-                self._fences.setdefault(name, self._fx.now())
-        self._release(self._fx.now())
+                self._fences.setdefault(name, self._effects.now())
+        self._release(self._effects.now())
 
     def _release(self, now: float) -> None:
         """Release the machines to be fenced, as many as one request holds, if the cloud may be called now."""
-        names = [name for name in self._fences if name not in self._releasing][: wire.MAX_RELEASE]
+        names = [name for name in self._fences if name not in self._releasing][: wire.MAX_RELEASED_AT_ONCE]
         # Fences come one by one from all homes, hundreds when a zone is silent: they must not starve the list.
         keep = 1.0 if self._listing or now - self._listed_at > self._lag * self._pages else 0.0
-        if not names or self._own.lease_uncertain or self._mute_since is not None or now < self._fences_from:
+        if not names or self._ownership.lease_uncertain or self._mute_since is not None or now < self._fences_from:
             return
         if not self._bucket.take(1, now, keep):
             return
@@ -53,21 +53,21 @@
             for name in names:
                 self._fences.pop(name, None)
                 self._machines.pop(name, None)
-                self._dead[name] = self._fx.now()
+                self._dead[name] = self._effects.now()
             self._on_gone(names)
 
         self._call("POST", "/rentals/release", dumps({"boxes": names}), answer)
 
-    def _watch_health(self, states: dict[str, mesh_wire.BoxState], zones: set[str], now: float) -> None:
+    def _watch_health(self, states: dict[str, mesh_wire.MachineState], zones: set[str], now: float) -> None:
         """Fence machines that are silent, taken back, or never came up."""
         fence_s = self._policy.value("fence_s", self._variables())
         for machine in self._machines.values():
             state = states.get(machine.name)
-            if state is not None or machine.yard not in zones:
+            if state is not None or machine.zone not in zones:
                 # An owner that is cut off, crashed or new tells of no machine: that says nothing of the machine.
-                machine.told_at = now
+                machine.reported_at = now
             if state is not None:
-                if machine.status == "starting":
+                if machine.status == wire.MachineStatus.STARTING:
                     self._note_up(machine, now)
                 lost = self._is_silent(machine, state, fence_s)
             else:
@@ -75,7 +75,7 @@
             if lost:
                 self._fences.setdefault(machine.name, now)
 
-    def _is_silent(self, machine: RentedMachine, state: mesh_wire.BoxState, fence_s: float) -> bool:
+    def _is_silent(self, machine: RentedMachine, state: mesh_wire.MachineState, fence_s: float) -> bool:
         """Whether a machine that its part's owner tells of is to be released.
 
         Silent and no longer listed, or after a notice: very likely taken back; the release makes it certain. One with
@@ -83,26 +83,32 @@
         """
         workers = self._settings.params.workers
         silence_s = fence_s + workers.lease_s
-        if state.doomed:
+        if state.terminating:
             silence_s = 1.5 * workers.report_s
-        elif machine.absent_at is not None:
+        elif machine.missing_since is not None:
             silence_s = 2 * workers.report_s
-        return state.heard_s > silence_s or (state.doomed and state.drained)
+        return state.silent_s > silence_s or (state.terminating and state.drained)
 
     def _is_missing(self, machine: RentedMachine, now: float) -> bool:
         """Whether a machine that no part's owner tells of is to be released."""
         lease_s = self._settings.params.workers.lease_s
-        rig = self._types.get(machine.rig)
-        ready_s = rig.ready_s if rig else lease_s
-        if machine.status == "starting" and now - machine.born > DEAD_BOOT * ready_s + self._lag:
+        machine_type = self._types.get(machine.machine_type)
+        ready_s = machine_type.boot_s if machine_type else lease_s
+        if (
+            machine.status == wire.MachineStatus.STARTING
+            and now - machine.requested_at > DEAD_BOOT * ready_s + self._lag
+        ):
             log.info("%s never came up", machine.name)
-            if rig is not None and machine.name not in self._fences:
-                self._boots.never_came_up(rig, machine.yard, now)
+            if machine_type is not None and machine.name not in self._fences:
+                self._boots.never_came_up(machine_type, machine.zone, now)
             return True
-        if machine.absent_at is not None and now - max(machine.absent_at, machine.told_at) > self._lag:
+        if machine.missing_since is not None and now - max(machine.missing_since, machine.reported_at) > self._lag:
             # Taken while its part changed owners, so that the new one never hears of it.
             return True
-        if machine.status == "running" and now - max(machine.up_at, machine.told_at, self._began) > 4 * lease_s:
+        if (
+            machine.status == wire.MachineStatus.RUNNING
+            and now - max(machine.up_at, machine.reported_at, self._began) > 4 * lease_s
+        ):
             log.info("%s runs, but its worker does not report", machine.name)
             return True
         return False
--- a/tealhook/fleet/renting.py
+++ b/tealhook/fleet/renting.py
@@ -36,13 +36,15 @@
     pause: float
 
 
-def _is_of_use(rig: wire.MachineType, option: Option, shape: mesh_wire.Shape, yard: str | None) -> bool:
+def _is_of_use(
+    machine_type: wire.MachineType, option: Option, shape: mesh_wire.TaskRequirements, zone: str | None
+) -> bool:
     """Whether a task of a shape that asks for a zone (or None) can run on such a machine."""
     return bool(
-        (shape.loaners or not option.spot)
-        and (not shape.rigs or rig.name in shape.rigs)
-        and (yard is None or yard == option.zone)
-        and slots_per_machine(rig, shape)
+        (shape.allows_spot or not option.spot)
+        and (not shape.machine_types or machine_type.name in shape.machine_types)
+        and (zone is None or zone == option.zone)
+        and slots_per_machine(machine_type, shape)
     )
 
 
@@ -51,7 +53,7 @@
 
     def _reset(self) -> None:
         super()._reset()
-        self._renting: wire.Rental | None = None
+        self._renting: wire.RentalRequest | None = None
         self._asked = 0
         self._refused: dict[Option, Refusal] = {}
 
@@ -61,26 +63,26 @@
 
     def _options(self, demand: list[mesh_wire.Demand], spot_ok: bool, now: float) -> list[Offer]:
         """What could be rented, cheapest first; what waits decides what is of use."""
-        shapes = [(item.shape, item.yard) for item in demand]
+        shapes = [(item.requirements, item.zone) for item in demand]
         count: dict[str, int] = {}
         self._boots.begin_look()
         for machine in self._machines.values():
-            count[machine.yard] = count.get(machine.yard, 0) + 1
-            if machine.status == "starting" and machine.rig in self._types:
-                self._boots.still_starting(self._types[machine.rig], machine.yard, now - machine.born)
-        quickest = min(rig.ready_s for rig in self._types.values()) or 1.0
+            count[machine.zone] = count.get(machine.zone, 0) + 1
+            if machine.status == wire.MachineStatus.STARTING and machine.machine_type in self._types:
+                self._boots.still_starting(self._types[machine.machine_type], machine.zone, now - machine.requested_at)
+        quickest = min(machine_type.boot_s for machine_type in self._types.values()) or 1.0
         options: list[Offer] = []
-        for rig in self._types.values():
-            for zone in rig.yards:
+        for machine_type in self._types.values():
+            for zone in machine_type.zones:
                 for spot in (True, False):
-                    option = Option(rig.name, zone, spot)
+                    option = Option(machine_type.name, zone, spot)
                     if (spot and not spot_ok) or self._is_refused(option, now):
                         continue
-                    if shapes and not any(_is_of_use(rig, option, shape, yard) for shape, yard in shapes):
+                    if shapes and not any(_is_of_use(machine_type, option, shape, zone) for shape, zone in shapes):
                         continue
                     # A machine is paid for while it boots: over a life of some ten boots that adds up.
-                    boot_s = max(rig.ready_s, self._boots.expected_s(rig, zone, now))
-                    cost = cpu_price(rig, spot) * (1.0 + boot_s / (10 * quickest))
+                    boot_s = max(machine_type.boot_s, self._boots.expected_s(machine_type, zone, now))
+                    cost = cpu_price(machine_type, spot) * (1.0 + boot_s / (10 * quickest))
                     options.append(Offer(cost * (1.0 + 0.001 * count.get(zone, 0)), option))
         options.sort()
         return options
@@ -96,20 +98,20 @@
         if not options:
             return False
         option = options[0].option
-        rig = self._types[option.rig]
-        if not option.spot and rig.spot_price * DEAR < rig.hourly:
+        machine_type = self._types[option.machine_type]
+        if not option.spot and machine_type.spot_price * DEAR < machine_type.hourly_price:
             missing = min(missing, shortage.pressing)
             if missing <= 0:
                 return False
         if not self._bucket.take(1, now, keep=self._bucket.burst / 4):
             return False
-        count = max(1, min(wire.MAX_RENT, int(missing / rig.vcpus + 0.75)))
+        count = max(1, min(wire.MAX_RENTED_AT_ONCE, int(missing / machine_type.vcpus + 0.75)))
         self._asked += 1
-        ask = f"{self._own.node}-{self._token}-{self._asked}"  # the token makes it unique for ever
-        self._send_rental(wire.Rental(ask, option.rig, option.zone, option.spot, count))
+        ask = f"{self._ownership.node}-{self._token}-{self._asked}"  # the token makes it unique for ever
+        self._send_rental(wire.RentalRequest(ask, option.machine_type, option.zone, option.spot, count))
         return True
 
-    def _send_rental(self, rental: wire.Rental) -> None:
+    def _send_rental(self, rental: wire.RentalRequest) -> None:
         """Send a request for machines, the first time or again."""
         self._renting = rental
 
@@ -117,61 +119,61 @@
             self._calling -= 1
             self._take_answer(rental, status, body)
             # An answer may be the first that a process which stood still comes to, before any timer.
-            if self._renting is None and not self._own.lease_uncertain:
+            if self._renting is None and not self._ownership.lease_uncertain:
                 self._rent_rest()  # from elsewhere
 
         self._call("POST", "/rentals", dumps(rental), answer)
 
-    def _take_answer(self, rental: wire.Rental, status: int | None, body: bytes) -> None:
+    def _take_answer(self, rental: wire.RentalRequest, status: int | None, body: bytes) -> None:
         """Act on the answer to a rental; one that may have been carried out is sent again."""
         if status == 200:
             self._renting = None
             self._take_rented(rental, body)
         elif status == 503 and b"capacity" in body:
             self._renting = None
-            self._refuse(rental, self._fx.now())
+            self._refuse(rental, self._effects.now())
         elif status == 400:
             log.error("cloud: rental refused: %s", body[:200])
             self._renting = None
-            self._refuse(rental, self._fx.now())
+            self._refuse(rental, self._effects.now())
         else:
             # Perhaps executed: repeated under its own name, which can rent nothing twice.
-            self._fx.later(0.5 + self._fx.rng.random(), lambda: self._repeat(rental))
+            self._effects.later(0.5 + self._effects.rng.random(), lambda: self._repeat(rental))
 
-    def _take_rented(self, rental: wire.Rental, body: bytes) -> None:
+    def _take_rented(self, rental: wire.RentalRequest, body: bytes) -> None:
         """Take in the machines of a rental that was carried out."""
-        now = self._fx.now()
+        now = self._effects.now()
         try:
-            names = wire.rented_decoder.decode(body).boxes
+            names = wire.rental_reply_decoder.decode(body).machines
         except msgspec.DecodeError as exc:
             log.error("cloud: bad answer to a rental: %s", exc)
             return
-        spot = ", spot" if rental.loaners else ""
-        log.info("rented %d of %d %s in %s%s", len(names), rental.count, rental.rig, rental.yard, spot)
+        spot = ", spot" if rental.spot else ""
+        log.info("rented %d of %d %s in %s%s", len(names), rental.count, rental.machine_type, rental.zone, spot)
         for name in names:
             if name not in self._dead:
-                machine = RentedMachine(name, rental.rig, rental.yard, rental.loaners, now)
+                machine = RentedMachine(name, rental.machine_type, rental.zone, rental.spot, now)
                 self._machines.setdefault(name, machine)
         if len(names) < rental.count:
             self._refuse(rental, now)
         else:
-            self._refused.pop(Option(rental.rig, rental.yard, rental.loaners), None)
+            self._refused.pop(Option(rental.machine_type, rental.zone, rental.spot), None)
 
-    def _repeat(self, rental: wire.Rental) -> None:
+    def _repeat(self, rental: wire.RentalRequest) -> None:
         """Send a rental again as soon as the cloud may be called, unless it has been given up."""
         if self._token is None or self._renting is not rental:
             return
-        if not self._own.lease_uncertain and self._bucket.take(1, self._fx.now()):
+        if not self._ownership.lease_uncertain and self._bucket.take(1, self._effects.now()):
             self._send_rental(rental)
         else:
-            self._fx.later(0.5, lambda: self._repeat(rental))
+            self._effects.later(0.5, lambda: self._repeat(rental))
 
-    def _refuse(self, rental: wire.Rental, now: float) -> None:
+    def _refuse(self, rental: wire.RentalRequest, now: float) -> None:
         """Leave this kind alone for a while: twice as long as the last time, within limits."""
-        option = Option(rental.rig, rental.yard, rental.loaners)
+        option = Option(rental.machine_type, rental.zone, rental.spot)
         last = self._refused.get(option)
         pause = min(2 * (last.pause if last is not None else self._lag / 2), 4 * self._lag)
-        self._refused[option] = Refusal(now + pause * (0.75 + 0.5 * self._fx.rng.random()), pause)
+        self._refused[option] = Refusal(now + pause * (0.75 + 0.5 * self._effects.rng.random()), pause)
 
     def _is_refused(self, option: Option, now: float) -> bool:
         """Whether the cloud refused this kind so lately that it is not asked for."""
--- a/tealhook/fleet/sizing.py
+++ b/tealhook/fleet/sizing.py
@@ -6,7 +6,7 @@
 
 from tealhook.fleet.demand import DemandHistory, Horizon, OrdinaryDemand, backlog_cpus, machine_cpus
 from tealhook.wire.cloud import MachineType
-from tealhook.wire.mesh import BoxState, Demand, Usage
+from tealhook.wire.mesh import Demand, MachineState, TeamUsage
 
 GOING_ON = 0.75  # of the CPUs taken now that stay taken over the horizon
 
@@ -15,8 +15,8 @@
 class FleetView:
     """What all nodes tell: machines by name, what runs, what waits."""
 
-    states: dict[str, BoxState] = field(default_factory=dict)
-    usage: list[Usage] = field(default_factory=list)
+    states: dict[str, MachineState] = field(default_factory=dict)
+    usage: list[TeamUsage] = field(default_factory=list)
     demand: list[Demand] = field(default_factory=list)
     ordinary_for: OrdinaryDemand = field(default_factory=OrdinaryDemand)
 
@@ -61,14 +61,14 @@
     """What the work needs that runs and waits."""
     # Ordinary machines for what may use no others, also before the jobs that it waits for are done. Others' tasks
     # on them yield to it, so what counts is how many there are, not how many are free.
-    steady = [item for item in view.demand if not item.shape.loaners]
+    steady = [item for item in view.demand if not item.requirements.allows_spot]
     kept = sum(machine_cpus(types, item) for item in view.ordinary_for.placed)
     kept += sum(backlog_cpus(types, item, horizon) for item in [*view.ordinary_for.blocked, *steady])
     return Need(
         steady,
         kept,
         used=sum(item.cpus for item in view.usage),
-        urgent=sum(item.urgent for item in view.usage),
+        urgent=sum(item.urgent_cpus for item in view.usage),
         waiting=sum(backlog_cpus(types, item, horizon) for item in view.demand),
     )
 
@@ -78,7 +78,7 @@
 
     The rest of what is asked for is room to be early; that pays only where machines are cheap.
     """
-    return sum(backlog_cpus(types, item, horizon, late=item.shape.loaners) for item in demand)
+    return sum(backlog_cpus(types, item, horizon, late=item.requirements.allows_spot) for item in demand)
 
 
 def find_shortages(
--- a/tealhook/gossip.py
+++ b/tealhook/gossip.py
@@ -2,15 +2,16 @@
 
 from __future__ import annotations
 
+from tealhook.coordination import FLEET_KEY, Ownership, partition_key, team_key
 from tealhook.fleet import FleetManager
 from tealhook.fleet.demand import OrdinaryDemand
 from tealhook.jobs import JobIndex
-from tealhook.jobs.scheduler import TeamScheduler
 from tealhook.loop.effects import Effects
 from tealhook.mesh import Mesh
-from tealhook.parts import PartitionManager
+from tealhook.partitions import PartitionManager
+from tealhook.scheduling.team_scheduler import TeamScheduler
 from tealhook.settings import Settings
-from tealhook.store import FLEET, Ownership, StateClient, home_key, part_key
+from tealhook.state_store import StateClient
 from tealhook.wire import mesh as wire
 
 USAGE_LEASES = 4.0  # the newest gossip of a team's owner counts for this many leases, while it owns the team's home
@@ -42,9 +43,9 @@
         ownership: Ownership,
         store: StateClient,
         mesh: Mesh,
-        book: JobIndex,
-        parts: PartitionManager,
-        homes: TeamScheduler,
+        job_index: JobIndex,
+        partition_manager: PartitionManager,
+        team_scheduler: TeamScheduler,
         fleet: FleetManager,
         peers: PeerStates,
         progress: dict[str, tuple[int, int]],
@@ -55,9 +56,9 @@
         self._ownership = ownership
         self._store = store
         self._mesh = mesh
-        self._book = book
-        self._parts = parts
-        self._homes = homes
+        self._job_index = job_index
+        self._partition_manager = partition_manager
+        self._team_scheduler = team_scheduler
         self._fleet = fleet
         self._peers = peers
         self._progress = progress
@@ -66,24 +67,26 @@
     def send(self) -> None:
         """Send every node our ownership, usage and progress, and the fleet's owner our demand and machines as well."""
         now = self._effects.now()
-        fleet = self._ownership.owner(FLEET)
-        progress = self._homes.progress()
-        usage = self._homes.usage()
-        demand = self._homes.demand()
-        blocked, placed = self._homes.ordinary_demand()
-        boxes = {zone: part.states() for zone, part in self._parts.parts.items()}
+        fleet = self._ownership.owner(FLEET_KEY)
+        progress = self._team_scheduler.progress()
+        usage = self._team_scheduler.usage()
+        demand = self._team_scheduler.demand()
+        blocked, placed = self._team_scheduler.ordinary_demand()
+        machines = {zone: part.machine_states() for zone, part in self._partition_manager.partitions.items()}
         age = now - self._store.answered_at
         addrs = self._fleet.addresses()
-        holdings = self._ownership.holdings()
+        holdings = self._ownership.own_tokens()
         for peer in (*self._mesh.peers, self._mesh.node):
-            theirs = {zone: names for zone, names in addrs.items() if self._ownership.owner(part_key(zone)) == peer}
+            theirs = {
+                zone: names for zone, names in addrs.items() if self._ownership.owner(partition_key(zone)) == peer
+            }
             body = wire.Gossip(
                 self._mesh.node,
                 age,
                 holdings,
                 usage,
                 demand if peer == fleet else [],
-                boxes if peer == fleet else {},
+                machines if peer == fleet else {},
                 progress,
                 theirs,
                 blocked if peer == fleet else [],
@@ -101,41 +104,41 @@
         now = self._effects.now()
         self._gossip[body.node] = (now, body)
         if body.node != self._mesh.node:
-            self._peers.served_at[body.node] = now - body.state_age
-            self._ownership.learn_tokens(body.node, body.owned)
-        for zone, names in body.addrs.items():
-            if zone in self._parts.parts:
-                self._parts.parts[zone].call_in(names)
+            self._peers.served_at[body.node] = now - body.state_age_s
+            self._ownership.learn_tokens(body.node, body.tokens)
+        for zone, names in body.addresses.items():
+            if zone in self._partition_manager.partitions:
+                self._partition_manager.partitions[zone].announce_token(names)
         for job, counts in body.progress.items():
-            if job in self._book.active:
+            if job in self._job_index.active:
                 self._progress[job] = (counts[0], counts[1])
         for item in body.usage:
-            self._parts.over[item.team] = item.over
+            self._partition_manager.over_guarantee[item.team] = item.over_guarantee_cpus
 
     def _plan_fleet(self, now: float) -> None:
         """Plan the fleet from the gossip of all nodes: each machine by its newest report, each team once."""
-        boxes: dict[str, wire.BoxState] = {}
+        machines: dict[str, wire.MachineState] = {}
         zones: set[str] = set()
-        usage: list[wire.Usage] = []
+        usage: list[wire.TeamUsage] = []
         demand: list[wire.Demand] = []
         ordinary_for = OrdinaryDemand()
         for at, body in self._gossip.values():
             if now - at > USAGE_LEASES * self._workers.lease_s:
                 continue
             # After a takeover the earlier owner's gossip is still stored: counting both would rent for a team twice.
-            usage.extend(u for u in body.usage if self._ownership.owner(home_key(u.team)) == body.node)
+            usage.extend(u for u in body.usage if self._ownership.owner(team_key(u.team)) == body.node)
             for found, told in (
                 (demand, body.demand),
                 (ordinary_for.blocked, body.blocked),
                 (ordinary_for.placed, body.placed),
             ):
-                found.extend(d for d in told if self._ownership.owner(home_key(d.team)) == body.node)
+                found.extend(d for d in told if self._ownership.owner(team_key(d.team)) == body.node)
             if now - at > self._workers.lease_s / 2:
                 continue  # machine states this old are wrong; demand is kept, for its owner may only be cut off from us
-            for zone, states in body.boxes.items():
+            for zone, states in body.machines.items():
                 zones.add(zone)
                 for state in states:
-                    known = boxes.get(state.name)
-                    if known is None or state.heard_s < known.heard_s:
-                        boxes[state.name] = state
-        self._fleet.plan(boxes, usage, demand, zones, ordinary_for)
+                    known = machines.get(state.name)
+                    if known is None or state.silent_s < known.silent_s:
+                        machines[state.name] = state
+        self._fleet.plan(machines, usage, demand, zones, ordinary_for)
--- a/tealhook/jobs/__init__.py
+++ b/tealhook/jobs/__init__.py
@@ -1,5 +1,5 @@
 """Jobs: what every node knows of them, admission, and the homes that run them."""
 
-from tealhook.jobs.index import ACTIVE, CANCELLED, DONE, JobIndex, job_key
+from tealhook.jobs.index import JobIndex, JobState, job_key
 
-__all__ = ["ACTIVE", "CANCELLED", "DONE", "JobIndex", "job_key"]
+__all__ = ["JobIndex", "JobState", "job_key"]
--- a/tealhook/jobs/records.py
+++ b/tealhook/jobs/records.py
@@ -14,8 +14,8 @@
 
 from tealhook.jobs.index import JobIndex, JobRecord, job_key, parse_record
 from tealhook.loop.effects import Effects
-from tealhook.store import Outcome, Priority, StateClient
-from tealhook.store.client import CALL_TIMEOUT_S
+from tealhook.state_store import CallPriority, Outcome, StateClient
+from tealhook.state_store.client import CALL_TIMEOUT_S
 from tealhook.wire import state as state_wire
 
 MOST_WAIT_S = 1.0  # for tokens
@@ -33,31 +33,31 @@
 class JobRecords:
     """Reads and ends job records; the index of jobs learns what comes of it."""
 
-    def __init__(self, effects: Effects, store: StateClient, book: JobIndex) -> None:
+    def __init__(self, effects: Effects, store: StateClient, job_index: JobIndex) -> None:
         """Records of `store`, of which `book` is told."""
-        self._fx = effects
+        self._effects = effects
         self._store = store
-        self._book = book
+        self._job_index = job_index
 
     def ended(self, team: str, status: str) -> JobRecord:
         """The record of a job that ends now: when is told to whoever looks after the jobs that waited for it."""
-        return JobRecord(team, status, at=round(self._fx.wall(), 1))
+        return JobRecord(team, status, at=round(self._effects.wall(), 1))
 
     def fetch(
         self,
         job: str,
         done: OnRecord,
-        priority: Priority = Priority.ASSIGN,
+        priority: CallPriority = CallPriority.ASSIGN,
         wait: float = MOST_WAIT_S,
         timeout: float = CALL_TIMEOUT_S,
     ) -> None:
         """Read a job's record, and leave the index of jobs as it is."""
 
-        def answered(kind: str, row: state_wire.Row | None) -> None:
+        def answered(kind: str, row: state_wire.KeyValue | None) -> None:
             if row is None:
                 done(kind, None, 0)
             else:
-                done(kind, parse_record(row.v), row.stamp)
+                done(kind, parse_record(row.value), row.mod_revision)
 
         self._store.get(job_key(job), answered, priority, wait, timeout)
 
@@ -65,7 +65,7 @@
         self,
         job: str,
         done: OnRecord,
-        priority: Priority = Priority.ASSIGN,
+        priority: CallPriority = CallPriority.ASSIGN,
         wait: float = MOST_WAIT_S,
         timeout: float = CALL_TIMEOUT_S,
     ) -> None:
@@ -73,7 +73,7 @@
 
         def fetched(kind: str, record: JobRecord | None, version: int) -> None:
             if record is not None:
-                self._book.learn(job, record, version)
+                self._job_index.apply_record(job, record, version)
             done(kind, record, version)
 
         self.fetch(job, fetched, priority, wait, timeout)
@@ -97,14 +97,14 @@
             conditions |= condition
             changes.append(change)
 
-        def written(outcome: Outcome, epoch: int, failed: list[str]) -> None:
+        def written(outcome: Outcome, revision: int, failed: list[str]) -> None:
             if outcome is Outcome.OK:
                 for job, (record, _version) in ends.items():
-                    self._book.learn(job, record, epoch)
+                    self._job_index.apply_record(job, record, revision)
                 done(outcome, [])
             elif outcome is Outcome.UNSURE:
                 done(outcome, list(ends))
             else:
                 done(outcome, [job for job in ends if job_key(job) in failed])
 
-        self._store.txn(conditions, changes, Priority.ADMIT, written, wait, timeout)
+        self._store.transact(conditions, changes, CallPriority.ADMIT, written, wait, timeout)
--- a/tealhook/jobs/team.py
+++ b/tealhook/jobs/team.py
@@ -11,18 +11,18 @@
 
     def __init__(self, team: str, token: int) -> None:
         """`token` is the fencing token of the ownership."""
-        self.team = team
+        self.name = team
         self.token = token
         self.ready = False
         self.jobs: dict[str, Job] = {}
         self.factors: dict[str, Feedback] = {}
-        self.news_at: dict[str, tuple[int, int]] = {}  # machine -> newest (token, seq) of its part's owner
-        self.strays: dict[str, str] = {}  # machines that run tasks we gave up, and their zones
+        self.latest_updates: dict[str, tuple[int, int]] = {}  # machine -> newest (token, seq) of its part's owner
+        self.stray_machines: dict[str, str] = {}  # machines that run tasks we gave up, and their zones
         self.guarantee = 0.0
         self.limit = 0.0
         self.gpus_limit = 0.0
-        self.kept = [0.0, 0.0]  # CPUs and cards of the limit that only overdue jobs may take
+        self.reserved_for_overdue = [0.0, 0.0]  # CPUs and cards of the limit that only overdue jobs may take
 
-    def taken(self, which: int = 0) -> float:
+    def allocated(self, which: int = 0) -> float:
         """CPUs (0) or cards (1) of every task that is not proved off its machine."""
-        return sum(job.need[which] * (len(job.attempts) + len(job.staged)) for job in self.jobs.values())
+        return sum(job.resources[which] * (len(job.attempts) + len(job.staged)) for job in self.jobs.values())
--- a/tealhook/parts/__init__.py
+++ b/tealhook/partitions/__init__.py
@@ -1,5 +1,5 @@
 """Parts: the machines of one zone, their reports, room, commands and drain."""
 
-from tealhook.parts.manager import PartitionManager
+from tealhook.partitions.manager import PartitionManager
 
 __all__ = ["PartitionManager"]
--- a/tealhook/parts/free_room.py
+++ b/tealhook/partitions/packing.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable, Iterator
 from operator import itemgetter
 
-from tealhook.parts.machine import Machine, Need
+from tealhook.partitions.machine import Machine, Resources
 
 Rank = tuple[bool, float, float, int]
 
@@ -28,7 +28,7 @@
 
     def _rank(self, machine: Machine) -> Rank:
         return (
-            not machine.loaners,
+            not machine.spot,
             self._free[machine.name][0],
             machine.heard_at,
             self._position[machine.name],
@@ -53,6 +53,6 @@
         insort(self._ranked, (self._rank(machine), machine), key=itemgetter(0))
 
 
-def without(room: list[float], need: Need, count: int = 1) -> list[float]:
+def without(room: list[float], need: Resources, count: int = 1) -> list[float]:
     """What is left of room when so many tasks of `need` are placed there."""
     return [have - count * used for have, used in zip(room, need, strict=True)]
--- a/tealhook/parts/updates.py
+++ b/tealhook/partitions/status_updates.py
@@ -6,8 +6,8 @@
 from typing import Any
 
 from tealhook.loop.effects import Effects
-from tealhook.parts.machine import Machine
-from tealhook.parts.room import Room
+from tealhook.partitions.capacity import CapacityManager
+from tealhook.partitions.machine import Machine
 from tealhook.settings import Settings
 from tealhook.wire import mesh
 from tealhook.wire import workers as wire
@@ -29,97 +29,99 @@
         zone: str,
         token: int,
         machines: dict[str, Machine],
-        room: Room,
-        tell: Callable[[str, mesh.MachineNews], Any],
+        room: CapacityManager,
+        tell: Callable[[str, mesh.StatusUpdate], Any],
         strangers: Callable[[str], Any],
     ) -> None:
         """News go to `tell`, with the team that they are for; `strangers` hears of jobs that nobody here knows."""
-        self._fx = effects
+        self._effects = effects
         self._workers = settings.params.workers
         self._zone = zone
         self._token = token
         self._owned_at = effects.now()
         self._machines = machines
-        self._room = room
-        self._tell = tell
-        self._strangers = strangers
-        self._seq = 0
+        self._capacity = room
+        self._send = tell
+        self._on_unknown_job = strangers
+        self._sequence = 0
 
-    def number(self) -> int:
+    def next_sequence(self) -> int:
         """The number of what is said next."""
-        self._seq += 1
-        return self._seq
+        self._sequence += 1
+        return self._sequence
 
     def publish(self, machine: Machine, now: float, force: str | None = None) -> None:
         """Tell each team's home what is on the machine when that changed, or while it has exits to settle."""
         # Exits not settled are told of again, but not with every report: a home makes their outcome durable first.
-        again = machine.exits and now - machine.told_at >= 2 * self._workers.report_s
-        if not machine.sure or not (machine.news or again or force):
+        again = machine.has_exits and now - machine.published_at >= 2 * self._workers.report_s
+        if not machine.reconciled or not (machine.changed or again or force):
             return
-        teams: dict[str, list[mesh.Seen]] = {}
+        teams: dict[str, list[mesh.ObservedTask]] = {}
         unknown = None
-        for held in machine.held.values():
-            team = self._room.team(held.job)
+        for task in machine.tasks.values():
+            team = self._capacity.team_of(task.job)
             if team is None:
-                unknown = held.job
+                unknown = task.job
                 continue
-            teams.setdefault(team, []).append(mesh.Seen(held.job, held.index, held.attempt, held.status, held.cause))
-        for booking in machine.bookings.values():
-            if booking.launching:
-                teams.setdefault(booking.team, []).append(
-                    mesh.Seen(booking.job, booking.index, booking.attempt, "launching")
+            teams.setdefault(team, []).append(
+                mesh.ObservedTask(task.job, task.index, task.attempt, task.status, task.cause)
+            )
+        for reservation in machine.reservations.values():
+            if reservation.launching:
+                teams.setdefault(reservation.team, []).append(
+                    mesh.ObservedTask(reservation.job, reservation.index, reservation.attempt, mesh.LAUNCHING)
                 )
         if unknown is not None:
             # Whose task that is nobody here knows: news without it would pass for a proof of its absence.
-            self._strangers(unknown)
+            self._on_unknown_job(unknown)
             return
-        machine.news = False
-        machine.told_at = now
-        for team in sorted(teams.keys() | machine.told.keys() | ({force} if force else set())):
+        machine.changed = False
+        machine.published_at = now
+        for team in sorted(teams.keys() | machine.published.keys() | ({force} if force else set())):
             seen = teams.get(team, [])
-            content = (machine.shift, tuple((s.job, s.index, s.attempt, s.status) for s in seen))
-            last = machine.told.get(team)
-            exits = any(s.status == wire.EXITED for s in seen)
+            content = (machine.session, tuple((s.job, s.index, s.attempt, s.status) for s in seen))
+            last = machine.published.get(team)
+            exits = any(s.status == wire.TaskStatus.EXITED for s in seen)
             settled = not exits or last is None or now - last[1] < 2 * self._workers.report_s
             if last is not None and last[0] == content and team != force and settled:
                 continue
-            self._seq += 1
-            machine.told[team] = (content, now, self._seq)
-            self._tell(
+            self._sequence += 1
+            machine.published[team] = (content, now, self._sequence)
+            self._send(
                 team,
-                mesh.MachineNews(
-                    self._zone, team, self._token, self._seq, machine.name, machine.shift, machine.tick, seen
+                mesh.StatusUpdate(
+                    self._zone, team, self._token, self._sequence, machine.name, machine.session, machine.sequence, seen
                 ),
             )
 
-    def look(self, request: mesh.Look) -> mesh.LookReply:
+    def reconcile(self, request: mesh.ReconcileRequest) -> mesh.ReconcileReply:
         """Answer a home; from here on, launches by earlier owners of that home are refused."""
-        now = self._fx.now()
-        self._room.raise_home(request.team, request.home_token)
+        now = self._effects.now()
+        self._capacity.accept_team_token(request.team, request.team_token)
         silent = []
         for name in request.machines:
             machine = self._machines.get(name)
-            if machine is None or not machine.sure:
+            if machine is None or not machine.reconciled:
                 silent.append(-1.0)
             else:
                 silent.append(now - machine.heard_at)
         unheard = sum(name not in self._machines for name in request.machines)
         quiet = sum(now - machine.heard_at > 2 * self._workers.report_s for machine in self._machines.values())
         lone = quiet + unheard <= LONE_SHARE * (len(self._machines) + unheard)
-        self._seq += 1
-        return mesh.LookReply(self._token, self._seq, silent, now - self._owned_at, lone)
+        self._sequence += 1
+        return mesh.ReconcileReply(self._token, self._sequence, silent, now - self._owned_at, lone)
 
-    def show(self, request: mesh.Look) -> None:
+    def publish_requested(self, request: mesh.ReconcileRequest) -> None:
         """News of the machines looked at; to be sent after the answer, whose number they must exceed.
 
         Only of those whose last news the home lacks: telling all of them anew, to each home, grows with teams times
         machines, and was half of all news of a fleet of 660.
         """
-        now = self._fx.now()
-        for name, heard in zip(request.machines, request.heard, strict=False):
+        now = self._effects.now()
+        for name, heard in zip(request.machines, request.known_sequences, strict=False):
             machine = self._machines.get(name)
             if machine is None:
                 continue
-            last = machine.told.get(request.team)
+            last = machine.published.get(request.team)
             if not heard or last is None or last[2] != heard:
                 self.publish(machine, now, force=request.team)
--- a/tealhook/parts/calls.py
+++ b/tealhook/partitions/worker_calls.py
@@ -9,12 +9,12 @@
 import msgspec
 
 from tealhook.loop.effects import Effects
-from tealhook.parts.machine import Machine
+from tealhook.partitions.machine import Machine
 from tealhook.settings import Settings
 from tealhook.wire import workers as wire
 from tealhook.wire.common import dumps
 
-log = logging.getLogger("tealhook.parts")
+log = logging.getLogger("tealhook.partitions")
 
 NEVER_S = 1e9
 DIRECT_S = 2.0  # a worker that has not answered a direct call by then is asked again later
@@ -29,7 +29,7 @@
 
     def __init__(self, effects: Effects, settings: Settings, token: int, machines: dict[str, Machine]) -> None:
         """The part's owner begins to own it now, under `token`, and may know none of its `machines` yet."""
-        self._fx = effects
+        self._effects = effects
         self._workers = settings.params.workers
         self._token = token
         self._machines = machines
@@ -39,18 +39,18 @@
         self._most = max(16, settings.params.limits.max_connections // 32)  # half of the direct calls' connections
         self._under_way = 0
 
-    def call_in(self, addrs: dict[str, str]) -> None:
+    def announce_token(self, addrs: dict[str, str]) -> None:
         """Tell workers that have not come under our token of it, directly, so that they do.
 
         They may be with an earlier owner who can't know that it is none any more, and would answer them for
         ever. Only the token is told: commands sent this way could be executed minutes late.
         """
-        now = self._fx.now()
+        now = self._effects.now()
         if now - self._owned_at < 1.5 * self._workers.report_s:
             return
         for name, addr in addrs.items():
             machine = self._machines.get(name)
-            if machine is not None and machine.sure:
+            if machine is not None and machine.reconciled:
                 continue
             if now - self._called.get(name, -NEVER_S) < self._workers.lease_s / 4:
                 continue
@@ -63,9 +63,9 @@
         while self._waiting and self._under_way < self._most:
             name, addr = self._waiting.popleft()
             machine = self._machines.get(name)
-            if machine is None or not machine.sure:
+            if machine is None or not machine.reconciled:
                 self._under_way += 1
-                self._fx.worker(addr, "GET", "/show", None, DIRECT_S, partial(self._shown, addr))
+                self._effects.worker(addr, "GET", "/show", None, DIRECT_S, partial(self._shown, addr))
 
     def _shown(self, addr: str, status: int | None, body: bytes) -> None:
         self._under_way -= 1
@@ -73,25 +73,25 @@
         if status != 200:
             return
         try:
-            report = wire.report_decoder.decode(body)
+            report = wire.heartbeat_decoder.decode(body)
         except msgspec.DecodeError as exc:
             log.error("worker at %s: bad answer: %s", addr, exc)
             return
-        if report.baton < self._token:
-            call = dumps(wire.Orders(self._token, [], report.shift))
-            self._fx.worker(addr, "POST", "/orders", call, DIRECT_S, ignore)
+        if report.fencing_token < self._token:
+            call = dumps(wire.CommandBatch(self._token, [], report.session))
+            self._effects.worker(addr, "POST", "/orders", call, DIRECT_S, ignore)
 
-    def probe(self) -> None:
+    def probe_unresponsive(self) -> None:
         """Ask machines that did not hear whether they do now; what reaches them so would reach them otherwise."""
-        now = self._fx.now()
+        now = self._effects.now()
         for machine in self._machines.values():
-            if machine.deaf_since is None or now - machine.probed_at < self._workers.lease_s / 4:
+            if machine.commands_lost_since is None or now - machine.probed_at < self._workers.lease_s / 4:
                 continue
             machine.probed_at = now
 
             def shown(status: int | None, _body: bytes, machine: Machine = machine) -> None:
-                if status == 200 and machine.deaf_since is not None:
+                if status == 200 and machine.commands_lost_since is not None:
                     log.info("%s hears again", machine.name)
-                    machine.deaf_since = None
+                    machine.commands_lost_since = None
 
-            self._fx.worker(machine.addr, "GET", "/show", None, DIRECT_S, shown)
+            self._effects.worker(machine.address, "GET", "/show", None, DIRECT_S, shown)
--- a/tealhook/placement/feedback.py
+++ b/tealhook/placement/feedback.py
@@ -9,7 +9,7 @@
 
 
 @dataclass(slots=True)
-class Placed:
+class PlacementEstimate:
     """What a placement was based on."""
 
     free_at: float
@@ -30,7 +30,7 @@
         self.factor = 0.0
         self._at = now
 
-    def finish(self, placed: Placed, finished_at: float, alpha: float) -> float:
+    def finish(self, placed: PlacementEstimate, finished_at: float, alpha: float) -> float:
         """Take an actual finish; gives (actual - estimate) / estimate, unweighted."""
         actual = finished_at - placed.free_at
         error = (actual - placed.estimate) / placed.estimate
--- a/tealhook/placement/minmin.py
+++ b/tealhook/placement/minmin.py
@@ -1,8 +1,8 @@
-"""The round: cloud min-min over groups of equal tasks and parts.
+"""The round: cloud min-min over groups of equal tasks and partitions.
 
 The paper's Algorithm 3 takes, again and again, the pair of mappable task and cloud with the earliest
 estimated finish. Tasks of one job with equal needs are one group here, so a step assigns as many of them as
-the part can start at that same estimate, and a round costs groups x parts rather than tasks x parts. Ranks
+the part can start at that same estimate, and a round costs groups x partitions rather than tasks x partitions. Ranks
 (urgency, guarantee) come before min-min's order; within a rank it is min-min.
 """
 
@@ -16,14 +16,14 @@
 
 
 @dataclass(slots=True)
-class PartView:
+class PartitionView:
     """A part's answer for one group, and what is left of it as the round goes on."""
 
     cached: int
     uncached: int
-    next_s: float
-    rate: float
-    factor: float
+    next_free_s: float
+    fetch_gb_per_s: float
+    feedback_factor: float
 
 
 @dataclass(slots=True)
@@ -35,11 +35,11 @@
     rank: tuple[float, ...]  # compared item by item; the lowest is served first
     image_gb: float
     run_s: float
-    need: tuple[float, float, float]
-    parts: dict[str, PartView]
-    aged: bool = False
+    resources: tuple[float, float, float]
+    partitions: dict[str, PartitionView]
+    starving: bool = False
     can_preempt: bool = False
-    limits: dict[str, int] = field(default_factory=dict)  # zone -> most tasks that may still go there
+    zone_limits: dict[str, int] = field(default_factory=dict)  # zone -> most tasks that may still go there
 
 
 @dataclass(slots=True)
@@ -50,39 +50,39 @@
     zone: str
     count: int
     finish_s: float
-    hold: bool = False
+    holds_capacity: bool = False
 
 
-def finish(view: PartView, group: Group, free_s: float, fetch_s: float) -> float:
+def finish(view: PartitionView, group: Group, free_s: float, fetch_s: float) -> float:
     """Earliest free time plus (1 + factor) x (fetch + run): the paper's equation 8."""
-    return free_s + (1.0 + view.factor) * max(FLOOR_S, fetch_s + group.run_s)
+    return free_s + (1.0 + view.feedback_factor) * max(FLOOR_S, fetch_s + group.run_s)
 
 
-def _best_now(group: Group, zone: str, view: PartView) -> tuple[float, int, bool] | None:
+def _best_now(group: Group, zone: str, view: PartitionView) -> tuple[float, int, bool] | None:
     """(finish, slots, cached) of the best free room of a part, if it has any."""
-    most = group.limits.get(zone, group.count)
+    most = group.zone_limits.get(zone, group.count)
     if most <= 0:
         return None
     if view.cached > 0:
         return finish(view, group, 0.0, 0.0), min(view.cached, most), True
     if view.uncached > 0:
-        return finish(view, group, 0.0, group.image_gb / view.rate), min(view.uncached, most), False
+        return finish(view, group, 0.0, group.image_gb / view.fetch_gb_per_s), min(view.uncached, most), False
     return None
 
 
 def _best_pair(group: Group) -> Choice | None:
     best: Choice | None = None
-    rooms = {zone: _best_now(group, zone, group.parts[zone]) for zone in sorted(group.parts)}
+    rooms = {zone: _best_now(group, zone, group.partitions[zone]) for zone in sorted(group.partitions)}
     # To hold room or to stop others for it makes sense only where none is free anywhere: a part's next free room
     # is an estimate, and a job's last task once waited minutes for room that was always about to be free.
-    at_once = (group.aged or group.can_preempt) and any(rooms.values())
+    at_once = (group.starving or group.can_preempt) and any(rooms.values())
     for zone, now in rooms.items():
-        view = group.parts[zone]
+        view = group.partitions[zone]
         if now is not None:
             choice = Choice(group, zone, min(group.count, now[1]), now[0])
-        elif not at_once and view.next_s < NEVER_S and group.limits.get(zone, group.count) > 0:
-            fetch = group.image_gb / view.rate if not view.cached else 0.0
-            choice = Choice(group, zone, group.count, finish(view, group, view.next_s, fetch), hold=True)
+        elif not at_once and view.next_free_s < NEVER_S and group.zone_limits.get(zone, group.count) > 0:
+            fetch = group.image_gb / view.fetch_gb_per_s if not view.cached else 0.0
+            choice = Choice(group, zone, group.count, finish(view, group, view.next_free_s, fetch), holds_capacity=True)
         else:
             continue
         if best is None or choice.finish_s < best.finish_s:
@@ -93,17 +93,17 @@
 def _take(group: Group, choice: Choice, groups: list[Group]) -> None:
     """Count a choice against what every group believes of that part."""
     zone, count = choice.zone, choice.count
-    view = group.parts[zone]
+    view = group.partitions[zone]
     was_cached = view.cached > 0
     for other in groups:
-        seen = other.parts.get(zone)
+        seen = other.partitions.get(zone)
         if seen is None:
             continue
         if other is group:
             used = count
         else:  # the same room, in units of the other group's tasks
             share = max(
-                (mine / theirs for mine, theirs in zip(group.need, other.need, strict=True) if theirs > 0),
+                (mine / theirs for mine, theirs in zip(group.resources, other.resources, strict=True) if theirs > 0),
                 default=0.0,
             )
             used = int(count * share + 0.999)
@@ -111,12 +111,12 @@
         from_first = min(used, getattr(seen, first))
         setattr(seen, first, getattr(seen, first) - from_first)
         setattr(seen, second, max(0, getattr(seen, second) - (used - from_first)))
-    if zone in group.limits:
-        group.limits[zone] -= count
+    if zone in group.zone_limits:
+        group.zone_limits[zone] -= count
     group.count -= count
 
 
-def plan_round(groups: list[Group], most: int = 64) -> list[Choice]:
+def plan_cycle(groups: list[Group], most: int = 64) -> list[Choice]:
     """Choices in the order in which they were made; at most `most` of them."""
     choices: list[Choice] = []
     for rank in sorted({group.rank for group in groups}):
@@ -126,11 +126,11 @@
             if not pairs:
                 break
             best = min(pairs, key=lambda pair: (pair.finish_s, pair.group.job, pair.zone))
-            if best.hold:
+            if best.holds_capacity:
                 # Nothing of this group can start where it would finish first: one task waits for the part's next free
                 # room, which is taken from then on. This guards against every group waiting for that same room
                 # with all of its tasks, while other room is free.
-                if best.group.aged or best.group.can_preempt:
+                if best.group.starving or best.group.can_preempt:
                     open_groups.remove(best.group)
                 else:
                     best.count = 1
@@ -139,8 +139,8 @@
                         open_groups.remove(best.group)
                 choices.append(best)
                 for group in groups:
-                    if best.zone in group.parts:
-                        group.parts[best.zone].next_s = NEVER_S
+                    if best.zone in group.partitions:
+                        group.partitions[best.zone].next_free_s = NEVER_S
                 continue
             choices.append(best)
             _take(best.group, best, groups)
--- a/tealhook/runtime.py
+++ b/tealhook/runtime.py
@@ -15,7 +15,7 @@
 from tealhook.loop.effects import Answer
 from tealhook.mesh.transport import MeshTransport
 from tealhook.settings import Policy, Settings
-from tealhook.wire.workers import REPORT_PATH
+from tealhook.wire.workers import HEARTBEAT_PATH
 
 log = logging.getLogger("tealhook")
 
@@ -105,9 +105,9 @@
         controller.on_request,
         max_connections=users,
         idle_s=max(60.0, 4 * lease_s),
-        short_when_crowded=REPORT_PATH,
+        short_when_crowded=HEARTBEAT_PATH,
     )
-    controller.parts.crowded = lambda: server.crowded
+    controller.partition_manager.crowded = lambda: server.crowded
 
     def reconnect_silent_peers() -> None:
         """Open a new connection to peers that are silent: after a network cut the old one may hang for minutes."""
--- a/tealhook/jobs/candidates.py
+++ b/tealhook/scheduling/candidates.py
@@ -9,7 +9,7 @@
 from tealhook.jobs.job import Job, WriteState
 from tealhook.jobs.team import TeamState
 from tealhook.settings import Policy, Settings
-from tealhook.wire.users import URGENCY_RANK, JobSpec
+from tealhook.wire.users import PRIORITY_RANK, STANDARD_RANK, JobSpec
 
 MAX_CANDIDATES = 48  # jobs looked at in one cycle
 SIZE_STEPS = 1.5  # steps in which the work left of jobs is compared, for each doubling of it
@@ -24,7 +24,18 @@
 class Candidate:
     """A job's tasks that may be placed in this cycle."""
 
-    __slots__ = ("team", "job", "spec", "count", "secured", "aged", "overdue", "borrows", "shape", "rank")
+    __slots__ = (
+        "team",
+        "job",
+        "spec",
+        "count",
+        "within_guarantee",
+        "starving",
+        "overdue",
+        "borrows",
+        "requirements",
+        "rank",
+    )
 
     def __init__(
         self,
@@ -32,8 +43,8 @@
         job: Job,
         spec: JobSpec,
         count: int,
-        secured: bool,
-        aged: bool,
+        within_guarantee: bool,
+        starving: bool,
         overdue: bool,
         late: bool,
         borrows: bool = False,
@@ -46,16 +57,16 @@
         # long and has not begun at all goes before everything else, with one task (a gang with all); likewise
         # a team's oldest job once it is older than every job should be before it begins.
         self.count = 1 if overdue and not job.gang else count
-        self.secured = secured
-        self.aged = aged or overdue
+        self.within_guarantee = within_guarantee
+        self.starving = starving or overdue
         self.overdue = overdue
         self.borrows = borrows  # one task, of the limit that is kept for overdue jobs
-        self.shape = job.shape()
+        self.requirements = job.requirements()
         # Users count jobs done in time, not tasks: so what is left of the whole job comes before min-min's order
         # of single tasks, in steps wide enough that min-min still chooses among jobs of about one size.
-        work = job.waiting() * max(job.need[0], job.need[1]) * max(1.0, self.shape.run_s)
+        work = job.waiting_count() * max(job.resources[0], job.resources[1]) * max(1.0, self.requirements.run_s)
         size = int(SIZE_STEPS * math.log2(1.0 + work))
-        self.rank = (not overdue, -self.shape.urgency, not secured, late, not self.aged, size)
+        self.rank = (not overdue, -self.requirements.priority, not within_guarantee, late, not self.starving, size)
 
 
 class CandidateSelection:
@@ -67,10 +78,10 @@
         policy: Policy,
         variables: Callable[[], dict[str, float]],
         teams: dict[str, TeamState],
-        book: JobIndex,
+        job_index: JobIndex,
     ) -> None:
         """`variables`: those of the policy, as they are now."""
-        self._book = book
+        self._job_index = job_index
         self._policy = policy
         self._variables = variables
         self._teams = teams
@@ -93,17 +104,17 @@
         found: list[Candidate] = []
         for team in self._teams.values():
             if team.ready:
-                found.extend(self._of_team(team, now, hold_age_s, begin_s))
-        found.sort(key=lambda candidate: (candidate.rank, candidate.job.stamp))
+                found.extend(self._select_team(team, now, hold_age_s, begin_s))
+        found.sort(key=lambda candidate: (candidate.rank, candidate.job.mod_revision))
         return found[:MAX_CANDIDATES]
 
-    def _of_team(self, team: TeamState, now: float, hold_age_s: float, begin_s: float) -> list[Candidate]:
+    def _select_team(self, team: TeamState, now: float, hold_age_s: float, begin_s: float) -> list[Candidate]:
         left = [
-            team.limit - team.taken(0) if team.limit > 0 else NO_LIMIT,
-            team.gpus_limit - team.taken(1) if team.gpus_limit > 0 else NO_LIMIT,
+            team.limit - team.allocated(0) if team.limit > 0 else NO_LIMIT,
+            team.gpus_limit - team.allocated(1) if team.gpus_limit > 0 else NO_LIMIT,
         ]
-        jobs = sorted(team.jobs.values(), key=lambda job: job.stamp)
-        self._keep_for_overdue(team, jobs, now, hold_age_s)
+        jobs = sorted(team.jobs.values(), key=lambda job: job.mod_revision)
+        self._reserve_for_overdue(team, jobs, now, hold_age_s)
         secured_left = team.guarantee
         oldest = True
         found: list[Candidate] = []
@@ -113,24 +124,24 @@
                 continue
             # The guarantee is for teams whose unfinished jobs fit into it whole. Counting only what is left of
             # them would let nearly every job stop others' tasks once most of it is done.
-            total = spec.vcpus * job.plays
-            secured = team.guarantee > 0 and total <= secured_left + ROUNDING
+            total = spec.vcpus * job.task_count
+            within_guarantee = team.guarantee > 0 and total <= secured_left + ROUNDING
             secured_left -= total
-            if job.waiting() <= 0 or not self._may_be_placed(job, now):
+            if job.waiting_count() <= 0 or not self._may_be_placed(job, now):
                 continue
-            overdue = self._overdue(job, now, hold_age_s)
-            allowed = self._within_limit(job, left, NOTHING_KEPT if overdue else team.kept)
+            overdue = self._is_overdue(job, now, hold_age_s)
+            allowed = self._within_limit(job, left, NOTHING_KEPT if overdue else team.reserved_for_overdue)
             borrows = allowed <= 0 and self._may_borrow(job, spec, now, hold_age_s)
             if borrows:
                 allowed = min(1, self._within_limit(job, left, NOTHING_KEPT))
-            count = self._placeable(job, min(job.waiting(), allowed))
+            count = self._placeable(job, min(job.waiting_count(), allowed))
             if count <= 0:
                 continue
-            aged = now - job.waiting_since > hold_age_s
-            if oldest and not job.failing and now - job.since > begin_s:
+            starving = now - job.waiting_since > hold_age_s
+            if oldest and not job.failing and now - job.schedulable_since > begin_s:
                 overdue, oldest = True, False
-            late = self._late(job, spec, now)
-            found.append(Candidate(team, job, spec, count, secured, aged, overdue, late, borrows))
+            late = self._is_late(job, spec, now)
+            found.append(Candidate(team, job, spec, count, within_guarantee, starving, overdue, late, borrows))
         return found
 
     @staticmethod
@@ -142,17 +153,17 @@
         """How many of `count` tasks may be placed at once."""
         if job.gang:
             # One task of the paper's: all of it at once, after every earlier try is off.
-            return 0 if job.attempts or job.staged or count < job.waiting() else count
+            return 0 if job.attempts or job.staged or count < job.waiting_count() else count
         if job.failing:
             return min(count, max(0, 1 - len(job.attempts)))
         return count
 
     @staticmethod
-    def _overdue(job: Job, now: float, hold_age_s: float) -> bool:
+    def _is_overdue(job: Job, now: float, hold_age_s: float) -> bool:
         """Whether a job has waited for long and has not begun at all. One that fails wherever it is tried has begun."""
         if job.failing:
             return False
-        return now - job.since > hold_age_s and not (job.done_count or job.attempts or job.staged)
+        return now - job.schedulable_since > hold_age_s and not (job.done_count or job.attempts or job.staged)
 
     @staticmethod
     def _may_borrow(job: Job, spec: JobSpec, now: float, hold_age_s: float) -> bool:
@@ -163,8 +174,8 @@
         one of which no task has been assigned for long borrows, if that comes back soon: lent to long tasks, it kept
         the overdue job from its room for a minute more.
         """
-        stalled = now - max(job.since, job.placed_at) > hold_age_s and not job.staged
-        return stalled and spec.expected_s <= LENT_SHARE * hold_age_s
+        stalled = now - max(job.schedulable_since, job.last_assigned_at) > hold_age_s and not job.staged
+        return stalled and spec.estimated_run_s <= LENT_SHARE * hold_age_s
 
     @staticmethod
     def _within_limit(job: Job, left: list[float], kept: list[float]) -> int:
@@ -172,13 +183,13 @@
         return min(
             (
                 int((have - keep + ROUNDING) / need)
-                for have, keep, need in zip(left, kept, job.need[:2], strict=True)
+                for have, keep, need in zip(left, kept, job.resources[:2], strict=True)
                 if need > 0
             ),
-            default=job.plays,
+            default=job.task_count,
         )
 
-    def _keep_for_overdue(self, team: TeamState, jobs: list[Job], now: float, hold_age_s: float) -> None:
+    def _reserve_for_overdue(self, team: TeamState, jobs: list[Job], now: float, hold_age_s: float) -> None:
         """Keep what overdue jobs need of the team's limit, one task each, until there is enough of it.
 
         A team at its limit gets it back in the steps of the tasks that end: small tasks took each of them again, and a
@@ -189,23 +200,23 @@
         for job in jobs:
             if job.spec is None or job.gang or job.blocked or job.not_before > now:
                 continue
-            if not self._overdue(job, now, hold_age_s):
+            if not self._is_overdue(job, now, hold_age_s):
                 continue
             for which in (0, 1):
-                if not kept[which] or kept[which] + job.need[which] <= most[which]:
-                    kept[which] += job.need[which]
-        team.kept = kept
+                if not kept[which] or kept[which] + job.resources[which] <= most[which]:
+                    kept[which] += job.resources[which]
+        team.reserved_for_overdue = kept
 
-    def _late(self, job: Job, spec: JobSpec, now: float) -> bool:
+    def _is_late(self, job: Job, spec: JobSpec, now: float) -> bool:
         """Whether a job can't be done in time any more, so that others which can go before it.
 
         A deadline, its own or that of jobs that need it, counts from the submission, an objective from when it was
         released.
         """
-        due_at = job.due_at
+        due_at = job.deadline_at
         if math.isinf(due_at):
-            due_at = job.since + max(self._done_within.get(spec.lineup, ()), default=math.inf)
-        return now + BELIEVED_SHARE * spec.expected_s > due_at
+            due_at = job.schedulable_since + max(self._done_within.get(spec.job_class, ()), default=math.inf)
+        return now + BELIEVED_SHARE * spec.estimated_run_s > due_at
 
     @staticmethod
     def zone_limits(job: Job, spec: JobSpec, zones: list[str]) -> dict[str, int]:
@@ -213,14 +224,14 @@
         limits: dict[str, int] = {}
         used = job.zones()
         for zone in zones:
-            most = spec.plays
-            if spec.yard is not None and zone != spec.yard:
+            most = spec.task_count
+            if spec.zone is not None and zone != spec.zone:
                 most = 0
-            if spec.together and used and used != {zone}:
+            if spec.single_zone and used and used != {zone}:
                 most = 0
             if spec.spread:
-                most = min(most, (spec.plays + 1) // 2 - job.in_zone(zone))
-            if most < spec.plays:
+                most = min(most, (spec.task_count + 1) // 2 - job.count_in_zone(zone))
+            if most < spec.task_count:
                 limits[zone] = max(0, most)
         return limits
 
@@ -235,15 +246,18 @@
             return False
         waited = now - candidate.job.waiting_since
         spec = candidate.spec
-        if candidate.shape.urgency > URGENCY_RANK["standard"]:
-            at_once = URGENCY_RANK[spec.urgency] == candidate.shape.urgency  # not on behalf of others
-            return waited >= self._wait_s.get(spec.lineup, 0.0 if at_once else self._lease_s) / 4
-        return candidate.secured and waited > self._guarantee_s / 2
+        if candidate.requirements.priority > STANDARD_RANK:
+            at_once = PRIORITY_RANK[spec.priority] == candidate.requirements.priority  # not on behalf of others
+            return waited >= self._wait_s.get(spec.job_class, 0.0 if at_once else self._lease_s) / 4
+        return candidate.within_guarantee and waited > self._guarantee_s / 2
 
-    def may_preempt_saving(self, candidate: Candidate) -> bool:
+    def may_preempt_checkpointing(self, candidate: Candidate) -> bool:
         """Whether a job may ask at once for less urgent tasks to be stopped that save their progress.
 
         Little is lost by that. Without it, work of minutes that a team without a guarantee runs in all free room had
         each task of the others wait for half of what the objective for guaranteed starts allows.
         """
-        return not candidate.job.failing and candidate.shape.urgency > self._book.lowest_saving_urgency
+        return (
+            not candidate.job.failing
+            and candidate.requirements.priority > self._job_index.lowest_checkpointing_priority
+        )
--- a/tealhook/jobs/cycle.py
+++ b/tealhook/scheduling/cycle.py
@@ -6,17 +6,18 @@
 from collections.abc import Callable
 from typing import Any
 
-from tealhook.jobs.candidates import ROUNDING, Candidate, CandidateSelection
+from tealhook.coordination import Ownership, partition_key
 from tealhook.jobs.index import JobIndex
 from tealhook.jobs.job import Attempt, WriteState
 from tealhook.jobs.team import TeamState
 from tealhook.loop.effects import Effects
 from tealhook.mesh import Mesh
-from tealhook.placement import NEVER_S, Choice, Group, PartView, Placed, plan_round
+from tealhook.placement import NEVER_S, Choice, Group, PartitionView, PlacementEstimate, plan_cycle
+from tealhook.scheduling.candidates import ROUNDING, Candidate, CandidateSelection
 from tealhook.settings import Policy, Settings
-from tealhook.store import Ownership, Priority, StateClient, part_key
+from tealhook.state_store import CallPriority, StateClient
 from tealhook.wire import mesh as wire
-from tealhook.wire.users import SERVICE
+from tealhook.wire.users import JobKind
 
 log = logging.getLogger("tealhook.jobs")
 
@@ -34,27 +35,27 @@
         mesh: Mesh,
         variables: Callable[[], dict[str, float]],
         teams: dict[str, TeamState],
-        book: JobIndex,
+        job_index: JobIndex,
         behind: Callable[[], bool],
         commit_soon: Callable[[], Any],
     ) -> None:
         """`behind`: whether something placed waits for tokens to be made durable."""
-        self._fx = effects
-        self._own = ownership
+        self._effects = effects
+        self._ownership = ownership
         self._store = store
         self._mesh = mesh
         self._teams = teams
         self._behind = behind
         self._commit_soon = commit_soon
         self._report_s = settings.params.workers.report_s
-        self.selection = CandidateSelection(settings, policy, variables, teams, book)
+        self.selection = CandidateSelection(settings, policy, variables, teams, job_index)
         self._cycle_on = False
         self._pause = self._report_s / 8
         self._schedule()
 
     def _schedule(self) -> None:
-        pause = self._pause * (0.75 + 0.5 * self._fx.rng.random())  # nodes must not inquire in step
-        self._fx.later(pause, self._run)
+        pause = self._pause * (0.75 + 0.5 * self._effects.rng.random())  # nodes must not inquire in step
+        self._effects.later(pause, self._run)
 
     def wake(self) -> None:
         """Something may be placeable now: the next pauses are short."""
@@ -65,11 +66,13 @@
             return
         # While assignments wait for tokens, room reserved for more of them would expire before it is used, be
         # reserved again, and the changes spent on it be lost.
-        able = self._store.served and not self._behind() and not self._own.lease_uncertain
-        candidates = self.selection.select(self._fx.now()) if able else []
-        zones = {zone: owner for zone in self._own.zones() if (owner := self._own.owner(part_key(zone)))}
+        able = self._store.is_served and not self._behind() and not self._ownership.lease_uncertain
+        candidates = self.selection.select(self._effects.now()) if able else []
+        zones = {
+            zone: owner for zone in self._ownership.zones() if (owner := self._ownership.owner(partition_key(zone)))
+        }
         # Owners that do not answer would hold up each cycle; those that can be reached go on without them.
-        zones = {zone: owner for zone, owner in zones.items() if self._own.reachable(owner)} or zones
+        zones = {zone: owner for zone, owner in zones.items() if self._ownership.is_reachable(owner)} or zones
         if not candidates or not zones:
             self._pause = min(self._report_s / 4, self._pause * 1.5)
             self._schedule()
@@ -79,21 +82,21 @@
 
     def _inquire(self, candidates: list[Candidate], zones: dict[str, str]) -> None:
         """Ask the owner of each partition for its earliest room, by shape."""
-        shapes = list(dict.fromkeys(candidate.shape for candidate in candidates))
+        requirements = list(dict.fromkeys(candidate.requirements for candidate in candidates))
         left = set(zones)
-        answers: dict[str, wire.AskReply] = {}
+        answers: dict[str, wire.CapacityReply] = {}
 
         def answered(zone: str, reply: Any) -> None:
             left.discard(zone)
-            if isinstance(reply, wire.AskReply) and len(reply.rooms) == len(shapes):
+            if isinstance(reply, wire.CapacityReply) and len(reply.capacities) == len(requirements):
                 answers[zone] = reply
             if not left:
-                self._choose(candidates, shapes, zones, answers)
+                self._choose(candidates, requirements, zones, answers)
 
         for zone, owner in zones.items():
             self._mesh.call(
                 owner,
-                wire.Ask(zone, shapes),
+                wire.CapacityInquiry(zone, requirements),
                 self._report_s / 2,
                 lambda reply, zone=zone: answered(zone, reply),  # type: ignore[misc]  # mypy can't infer defaults
             )
@@ -101,51 +104,51 @@
     def _choose(
         self,
         candidates: list[Candidate],
-        shapes: list[wire.Shape],
+        requirements: list[wire.TaskRequirements],
         zones: dict[str, str],
-        answers: dict[str, wire.AskReply],
+        answers: dict[str, wire.CapacityReply],
     ) -> None:
-        now = self._fx.now()
-        position = {shape: i for i, shape in enumerate(shapes)}
+        now = self._effects.now()
+        position = {requirements: i for i, requirements in enumerate(requirements)}
         groups: list[Group] = []
         by_job: dict[str, Candidate] = {}
         for candidate in candidates:
-            if candidate.job.spec is None or self._teams.get(candidate.team.team) is not candidate.team:
+            if candidate.job.spec is None or self._teams.get(candidate.team.name) is not candidate.team:
                 continue
-            rooms = {zone: reply.rooms[position[candidate.shape]] for zone, reply in answers.items()}
+            rooms = {zone: reply.capacities[position[candidate.requirements]] for zone, reply in answers.items()}
             by_job[candidate.job.id] = candidate
             groups.append(self._group(candidate, rooms, now))
-        choices = self._affordable(plan_round(groups))
+        choices = self._affordable(plan_cycle(groups))
         self._log(groups, by_job)
         self._reserve(choices, by_job, zones, now)
 
-    def _group(self, candidate: Candidate, rooms: dict[str, wire.Room], now: float) -> Group:
+    def _group(self, candidate: Candidate, rooms: dict[str, wire.Capacity], now: float) -> Group:
         """A candidate as min-min takes it, with what each partition has for it."""
         spec = candidate.spec
-        parts: dict[str, PartView] = {}
+        partitions: dict[str, PartitionView] = {}
         for zone, room in rooms.items():
             feedback = candidate.team.factors.get(zone)
             factor = feedback.factor if feedback else 0.0
-            parts[zone] = PartView(room.cached, room.uncached, room.next_s, room.rate, factor)
+            partitions[zone] = PartitionView(room.cached, room.uncached, room.next_free_s, room.fetch_gb_per_s, factor)
             if candidate.job.gang:  # in one partition, once all its room is free
                 whole = room.cached + room.uncached
-                parts[zone].cached, parts[zone].uncached = 0, whole if whole >= candidate.count else 0
-                parts[zone].next_s = NEVER_S
+                partitions[zone].cached, partitions[zone].uncached = 0, whole if whole >= candidate.count else 0
+                partitions[zone].next_free_s = NEVER_S
         limits = self.selection.zone_limits(candidate.job, spec, list(rooms))
-        if spec.together and not candidate.job.zones():
+        if spec.single_zone and not candidate.job.zones():
             # All of the job must go to one zone: the one with most room now.
-            best = max(rooms, key=lambda z: (parts[z].cached + parts[z].uncached, z), default=None)
+            best = max(rooms, key=lambda z: (partitions[z].cached + partitions[z].uncached, z), default=None)
             limits |= {zone: 0 for zone in rooms if zone != best}
         return Group(
             candidate.job.id,
             candidate.count,
             candidate.rank,
-            spec.pull_gb,
-            0.0 if spec.shape == SERVICE else spec.expected_s,  # free time alone
-            candidate.job.need,
-            parts,
-            candidate.aged,
-            self.selection.may_preempt(candidate, now) or self.selection.may_preempt_saving(candidate),
+            spec.image_gb,
+            0.0 if spec.kind == JobKind.SERVICE else spec.estimated_run_s,  # free time alone
+            candidate.job.resources,
+            partitions,
+            candidate.starving,
+            self.selection.may_preempt(candidate, now) or self.selection.may_preempt_checkpointing(candidate),
             limits,
         )
 
@@ -154,13 +157,13 @@
         if not log.isEnabledFor(logging.DEBUG):
             return
         for group in groups:
-            left = {z: (v.cached, v.uncached, round(min(v.next_s, 999.0), 1)) for z, v in group.parts.items()}
+            left = {z: (v.cached, v.uncached, round(min(v.next_free_s, 999.0), 1)) for z, v in group.partitions.items()}
             waits = by_job[group.job].count
             log.debug(
                 "round: %s rank %s need %s waits %d of %d; left %s",
                 group.job,
                 group.rank,
-                group.need,
+                group.resources,
                 group.count,
                 waits,
                 left,
@@ -168,10 +171,10 @@
 
     def _affordable(self, choices: list[Choice]) -> list[Choice]:
         """The first choices, of no more jobs than can be made durable soon: one change each."""
-        most = max(1, self._store.write_room(Priority.ASSIGN))
+        most = max(1, self._store.available_writes(CallPriority.ASSIGN))
         jobs: set[str] = set()
         for position, choice in enumerate(choices):
-            if not choice.hold:
+            if not choice.holds_capacity:
                 jobs.add(choice.group.job)
             if len(jobs) > most:
                 return choices[:position]
@@ -184,7 +187,7 @@
             candidate = by_job[choice.group.job]
             if candidate.job.gang and choice.count < candidate.count:
                 continue
-            if choice.hold and not (choice.group.aged or choice.group.can_preempt):
+            if choice.holds_capacity and not (choice.group.starving or choice.group.can_preempt):
                 continue
             wants.setdefault(choice.zone, []).append((candidate, choice.count, choice))
         if not wants:
@@ -195,14 +198,14 @@
 
         def answered(zone: str, reply: Any) -> None:
             left.discard(zone)
-            if isinstance(reply, wire.ReserveReply) and len(reply.slots) == len(wants[zone]):
-                for (candidate, _count, _choice), slots in zip(wants[zone], reply.slots, strict=True):
+            if isinstance(reply, wire.ReserveReply) and len(reply.grants) == len(wants[zone]):
+                for (candidate, _count, _choice), slots in zip(wants[zone], reply.grants, strict=True):
                     placed.append(self._stage(candidate, zone, reply.token, slots, now))
             if not left:
                 self._end_cycle(sum(placed))
 
         for zone, items in wants.items():
-            request = wire.Reserve(zone, [self._want(*item) for item in items])
+            request = wire.ReserveRequest(zone, [self._want(*item) for item in items])
             self._mesh.call(
                 zones[zone],
                 request,
@@ -210,17 +213,17 @@
                 lambda reply, zone=zone: answered(zone, reply),  # type: ignore[misc]  # mypy can't infer defaults
             )
 
-    def _want(self, candidate: Candidate, count: int, choice: Choice) -> wire.Want:
-        return wire.Want(
+    def _want(self, candidate: Candidate, count: int, choice: Choice) -> wire.ReservationRequest:
+        return wire.ReservationRequest(
             candidate.job.id,
-            candidate.team.team,
-            candidate.shape,
+            candidate.team.name,
+            candidate.requirements,
             count,
-            candidate.secured,
-            choice.hold and candidate.aged,
-            candidate.job.avoid,
+            candidate.within_guarantee,
+            choice.holds_capacity and candidate.starving,
+            candidate.job.avoided_machines,
             candidate.team.token,
-            choice.hold and self.selection.may_preempt(candidate, self._fx.now()),
+            choice.holds_capacity and self.selection.may_preempt(candidate, self._effects.now()),
             candidate.overdue,
         )
 
@@ -233,26 +236,28 @@
             self._pause = min(self._report_s / 2, self._pause * 1.5)
         self._schedule()
 
-    def _stage(self, candidate: Candidate, zone: str, token: int, slots: list[wire.Slot], now: float) -> int:
+    def _stage(
+        self, candidate: Candidate, zone: str, token: int, slots: list[wire.ReservationGrant], now: float
+    ) -> int:
         """Stage tasks for the room that was given; they wait for the commit."""
         team, job, spec = candidate.team, candidate.job, candidate.job.spec
-        if spec is None or self._teams.get(team.team) is not team or job.write_state is WriteState.UNCERTAIN:
+        if spec is None or self._teams.get(team.name) is not team or job.write_state is WriteState.UNCERTAIN:
             return 0
         # The world may have moved while the partition was asked: the limits are checked against what is so now.
         most = len(slots)
         for limit, which in ((team.limit, 0), (team.gpus_limit, 1)):
-            if limit > 0 and job.need[which] > 0:
-                kept = 0.0 if candidate.overdue or candidate.borrows else team.kept[which]
-                most = min(most, int((limit - team.taken(which) - kept + ROUNDING) / job.need[which]))
+            if limit > 0 and job.resources[which] > 0:
+                kept = 0.0 if candidate.overdue or candidate.borrows else team.reserved_for_overdue[which]
+                most = min(most, int((limit - team.allocated(which) - kept + ROUNDING) / job.resources[which]))
         most = max(0, min(most, self.selection.zone_limits(job, spec, [zone]).get(zone, most)))
-        if job.gang and most < job.waiting():
+        if job.gang and most < job.waiting_count():
             return 0
-        indexes = job.take_waiting(max(0, min(most, len(slots))))
+        indexes = job.take_waiting_tasks(max(0, min(most, len(slots))))
         for position, (index, slot) in enumerate(zip(indexes, slots, strict=False)):
             if not (job.gang and position):  # the tasks of a gang find one another by their attempt
-                job.counter += 1
-            attempt = Attempt(index, job.counter, slot.machine, slot.shift, zone, token, now)
-            attempt.rid = slot.rid
-            attempt.placed = Placed(now, slot.fetch_s, spec.expected_s)
+                job.last_attempt_number += 1
+            attempt = Attempt(index, job.last_attempt_number, slot.machine, slot.session, zone, token, now)
+            attempt.reservation_id = slot.reservation_id
+            attempt.estimate = PlacementEstimate(now, slot.fetch_s, spec.estimated_run_s)
             job.staged[index] = attempt
         return len(indexes)
--- a/tealhook/jobs/pipelines.py
+++ b/tealhook/scheduling/dependencies.py
@@ -9,16 +9,16 @@
 import logging
 from typing import Any
 
-from tealhook.jobs.index import ACTIVE, CANCELLED, JobIndex, JobRecord
+from tealhook.jobs.index import JobIndex, JobRecord, JobState
 from tealhook.jobs.records import JobRecords
 from tealhook.loop.effects import Effects
 from tealhook.settings import Settings
-from tealhook.store import Outcome, StateClient
+from tealhook.state_store import Outcome, StateClient
 
 log = logging.getLogger("tealhook.jobs")
 
 
-class Pipelines:
+class DependencyTracker:
     """Blocked jobs of the homes that this node owns."""
 
     def __init__(
@@ -26,44 +26,44 @@
         effects: Effects,
         settings: Settings,
         store: StateClient,
-        book: JobIndex,
-        homes: dict[str, Any],
+        job_index: JobIndex,
+        teams: dict[str, Any],
     ) -> None:
         """For the teams in `homes`, as they come and go."""
-        self._fx = effects
-        self._book = book
-        self._records = JobRecords(effects, store, book)
-        self._homes = homes
+        self._effects = effects
+        self._job_index = job_index
+        self._records = JobRecords(effects, store, job_index)
+        self._teams = teams
         self._pause = settings.params.workers.report_s / 50
-        self._due: dict[str, None] = {}  # blocked jobs to be looked at
-        self._timer = False
-        self._most = store.txn_ops  # cancelled at once; fewer after a write that was too much
-        self._busy: set[str] = set()  # being cancelled
+        self._due_jobs: dict[str, None] = {}  # blocked jobs to be looked at
+        self._is_scheduled = False
+        self._max_cancelled = store.max_operations  # cancelled at once; fewer after a write that was too much
+        self._cancelling: set[str] = set()  # being cancelled
         self._reading: set[str] = set()
 
-    def look_at(self, job: str) -> None:
+    def schedule_check(self, job: str) -> None:
         """A job waits for others: see soon whether it must be cancelled, or waits for one that is not known here."""
-        self._due[job] = None
-        self._soon(self._pause)
+        self._due_jobs[job] = None
+        self._schedule(self._pause)
 
-    def _soon(self, pause: float) -> None:
-        if not self._timer:
-            self._timer = True
-            self._fx.later(pause, self._look)
+    def _schedule(self, pause: float) -> None:
+        if not self._is_scheduled:
+            self._is_scheduled = True
+            self._effects.later(pause, self._check)
 
-    def _look(self) -> None:
-        self._timer = False
+    def _check(self) -> None:
+        self._is_scheduled = False
         to_cancel: list[str] = []
-        for job in self._due:
-            known = self._book.active.get(job)
-            if known is None or not known.blocked or known.team not in self._homes or job in self._busy:
+        for job in self._due_jobs:
+            known = self._job_index.active.get(job)
+            if known is None or not known.blocked or known.team not in self._teams or job in self._cancelling:
                 continue
-            for name in self._book.unknown(job):
+            for name in self._job_index.unknown_dependencies(job):
                 self._read(name, job)
-            if self._book.needs_cancelled(job):
+            if self._job_index.has_cancelled_dependency(job):
                 to_cancel.append(job)
-        self._due.clear()
-        most = self._most
+        self._due_jobs.clear()
+        most = self._max_cancelled
         for first in range(0, len(to_cancel), most):
             self._cancel(to_cancel[first : first + most])
 
@@ -82,30 +82,34 @@
 
     def _cancel(self, jobs: list[str]) -> None:
         """Write that jobs are cancelled, several at once; what fails of them is read, and looked at again."""
-        active = self._book.active
-        self._busy.update(jobs)
+        active = self._job_index.active
+        self._cancelling.update(jobs)
 
         def done(outcome: Outcome, uncertain: list[str]) -> None:
-            self._busy.difference_update(jobs)
+            self._cancelling.difference_update(jobs)
             if outcome is Outcome.OK:
                 return
             if outcome is Outcome.REJECTED:
-                self._most = max(1, len(jobs) // 2)
+                self._max_cancelled = max(1, len(jobs) // 2)
             for job in uncertain:
                 self._reread(job)
             again = [job for job in jobs if job not in uncertain]
-            self._due.update(dict.fromkeys(again))
+            self._due_jobs.update(dict.fromkeys(again))
             if again:
-                self._soon(self._pause if outcome is Outcome.CONFLICT else 10 * self._pause)
+                self._schedule(self._pause if outcome is Outcome.CONFLICT else 10 * self._pause)
 
         self._records.end(
-            {job: (self._records.ended(active[job].team, CANCELLED), active[job].stamp) for job in jobs}, done
+            {
+                job: (self._records.ended(active[job].team, JobState.CANCELLED), active[job].mod_revision)
+                for job in jobs
+            },
+            done,
         )
 
     def _reread(self, job: str) -> None:
         def read(_kind: str, record: JobRecord | None, _version: int) -> None:
-            if record is None or record.st == ACTIVE:
-                self._due[job] = None
-                self._soon(10 * self._pause)
+            if record is None or record.status == JobState.ACTIVE:
+                self._due_jobs[job] = None
+                self._schedule(10 * self._pause)
 
         self._records.read(job, read)
--- a/tealhook/store/client.py
+++ b/tealhook/state_store/client.py
@@ -12,7 +12,7 @@
 
 from tealhook.loop.effects import Effects
 from tealhook.settings import Settings
-from tealhook.store.queue import Priority, RequestQueue
+from tealhook.state_store.request_queue import CallPriority, RequestQueue
 from tealhook.wire import state as wire
 from tealhook.wire.common import dumps
 
@@ -45,7 +45,7 @@
         """Budgets and the limits of what may be written come from the settings."""
         super().__init__(effects, settings)
         limits = settings.params.state.least
-        self.txn_ops = limits.txn_ops
+        self.max_operations = limits.txn_ops
         self.value_bytes = int(limits.value_kb * 1024)
 
     # -- reads
@@ -58,8 +58,8 @@
     def get(
         self,
         key: str,
-        done: Callable[[ReadKind, wire.Row | None], Any],
-        priority: Priority = Priority.ADMIT,
+        done: Callable[[ReadKind, wire.KeyValue | None], Any],
+        priority: CallPriority = CallPriority.ADMIT,
         wait: float = 1.0,
         timeout: float = CALL_TIMEOUT_S,
     ) -> None:
@@ -83,14 +83,14 @@
     def list(
         self,
         prefix: str,
-        done: Callable[[list[wire.Row] | None, int], Any],
+        done: Callable[[list[wire.KeyValue] | None, int], Any],
         page: int = 500,
-        priority: Priority = Priority.ASSIGN,
+        priority: CallPriority = CallPriority.ASSIGN,
         wait: float = 5.0,
         timeout: float = 2 * CALL_TIMEOUT_S,
     ) -> None:
         """All rows below a prefix with the epoch of the first page, or (None, 0)."""
-        rows: list[wire.Row] = []
+        rows: list[wire.KeyValue] = []
         first: list[int] = []
 
         def answer(status: int | None, body: bytes) -> None:
@@ -98,15 +98,15 @@
                 done(None, 0)
                 return
             try:
-                part = wire.rows_decoder.decode(body)
+                chunk = wire.rows_decoder.decode(body)
             except msgspec.DecodeError as exc:
                 log.error("state service: bad answer to a list: %s", exc)
                 done(None, 0)
                 return
-            rows.extend(part.rows)
-            first.append(part.epoch)
-            if part.more and part.rows:
-                ask(part.rows[-1].path)
+            rows.extend(chunk.items)
+            first.append(chunk.revision)
+            if chunk.more and chunk.items:
+                ask(chunk.items[-1].key)
             else:
                 done(rows, first[0])
 
@@ -123,9 +123,9 @@
         prefix: str,
         after: int,
         wait_s: float,
-        done: Callable[[WatchKind, wire.Watched | None], Any],
+        done: Callable[[WatchKind, wire.WatchReply | None], Any],
         *,
-        priority: Priority = Priority.ADMIT,
+        priority: CallPriority = CallPriority.ADMIT,
         queue_s: float = 5.0,
         spare_s: float = CALL_TIMEOUT_S,
     ) -> None:
@@ -149,11 +149,11 @@
 
     # -- changes
 
-    def txn(
+    def transact(
         self,
         conditions: wire.Conditions,
         operations: Sequence[wire.Operation],
-        priority: Priority,
+        priority: CallPriority,
         done: TxnDone,
         wait: float = 1.0,
         timeout: float = CALL_TIMEOUT_S,
@@ -163,10 +163,10 @@
         def answer(status: int | None, body: bytes) -> None:
             try:
                 if status == 200:
-                    done(Outcome.OK, wire.committed_decoder.decode(body).epoch, [])
+                    done(Outcome.OK, wire.committed_decoder.decode(body).revision, [])
                     return
                 if status == 409:
-                    done(Outcome.CONFLICT, 0, wire.conflict_decoder.decode(body).failed)
+                    done(Outcome.CONFLICT, 0, wire.conflict_decoder.decode(body).failed_keys)
                     return
             except msgspec.DecodeError as exc:
                 log.error("state service: bad answer to a transaction: %s", exc)
@@ -191,12 +191,12 @@
 
         def answer(status: int | None, body: bytes) -> None:
             try:
-                done(wire.granted_decoder.decode(body).hold if status == 200 else None)
+                done(wire.granted_decoder.decode(body).lease_id if status == 200 else None)
             except msgspec.DecodeError:
                 done(None)
 
         body = dumps({"ttl_ms": int(ttl_s * 1000)})
-        self._submit(Priority.RENEW, "POST", "/grants", body, 0, 1.0, CALL_TIMEOUT_S, answer)
+        self._submit(CallPriority.RENEW, "POST", "/grants", body, 0, 1.0, CALL_TIMEOUT_S, answer)
 
     def renew_lease(self, lease: int, timeout: float, done: Callable[[RenewKind], Any]) -> None:
         """`done("ok")`, `done("ended")` or `done("unknown")`."""
@@ -204,7 +204,7 @@
         def answer(status: int | None, _body: bytes) -> None:
             done("ok" if status == 200 else "ended" if status == 404 else "unknown")
 
-        self._submit(Priority.RENEW, "POST", f"/grants/{lease}/renew", b"{}", 0, 0.5, timeout, answer)
+        self._submit(CallPriority.RENEW, "POST", f"/grants/{lease}/renew", b"{}", 0, 0.5, timeout, answer)
 
     def revoke_lease(self, lease: int, done: Callable[[bool], Any]) -> None:
         """End a lease and with it every key under it; `done(whether it has certainly ended)`."""
@@ -212,4 +212,4 @@
         def answer(status: int | None, _body: bytes) -> None:
             done(status in (200, 204, 404))
 
-        self._submit(Priority.RENEW, "DELETE", f"/grants/{lease}", None, 0, 1.0, CALL_TIMEOUT_S, answer)
+        self._submit(CallPriority.RENEW, "DELETE", f"/grants/{lease}", None, 0, 1.0, CALL_TIMEOUT_S, answer)
--- a/tealhook/store/read_index.py
+++ b/tealhook/state_store/read_index.py
@@ -12,7 +12,7 @@
 
 from tealhook.loop.effects import Cancellable, Effects
 from tealhook.settings import Settings
-from tealhook.store.watcher import Watcher
+from tealhook.state_store.watcher import Watcher
 
 Fresh = Callable[[bool], Any]  # told whether the view shows all that was written before the question
 
--- a/tealhook/store/queue.py
+++ b/tealhook/state_store/request_queue.py
@@ -20,7 +20,7 @@
 LEAST_PACE = 0.3
 
 
-class Priority(enum.IntEnum):
+class CallPriority(enum.IntEnum):
     """Who goes first when tokens are short."""
 
     RENEW = 0
@@ -30,7 +30,7 @@
 
 
 # Share of the buckets that a priority leaves to those before it.
-RESERVED = {Priority.RENEW: 0.0, Priority.ADMIT: 0.1, Priority.ASSIGN: 0.25, Priority.KEEP: 0.45}
+RESERVED = {CallPriority.RENEW: 0.0, CallPriority.ADMIT: 0.1, CallPriority.ASSIGN: 0.25, CallPriority.KEEP: 0.45}
 
 
 class _Call:
@@ -67,31 +67,31 @@
         self._rps, self._wps = limits.rps, limits.write_rps
         self._pace = 1.0  # share of the budgets that is used: less while the service says that they are overused
         self._paced_at = -1e9
-        self._part: tuple[int, float | None] = (1, None)
+        self._shares: tuple[int, float | None] = (1, None)
         now = effects.now()
         self._requests = TokenBucket(1.0, 1.0, now)
         self._writes = TokenBucket(1.0, 1.0, now)
-        self._queues: dict[Priority, deque[_Call]] = {priority: deque() for priority in Priority}
+        self._queues: dict[CallPriority, deque[_Call]] = {priority: deque() for priority in CallPriority}
         self._pumping = False
         self.answered_at = -1e9  # when it last served us
         self.failed_at = -1e9
-        self.share(max(1, settings.params.nodes), None)
+        self.set_share(max(1, settings.params.nodes), None)
 
-    def share(self, nodes: int, homes: float | None) -> None:
+    def set_share(self, nodes: int, owned_share: float | None) -> None:
         """Set this node's part of the budgets.
 
-        It has `nodes` live nodes to share them with, and owns `homes` of all homes (None: nobody owns any). Any
-        node admits and answers, so part of the budgets is shared evenly; assignments are the homes' owners' work.
-        An even share of all would starve one that has taken over the others' homes.
+        It has `nodes` live nodes to share them with, and owns `owned_share` of all teams (None: nobody owns any). Any
+        node admits and answers, so some of the budgets is shared evenly; assignments are the work of the teams' owners.
+        An even share of all would starve one that has taken over the others' teams.
         """
         now = self._effects.now()
-        self._part = (nodes, homes)
+        self._shares = (nodes, owned_share)
 
-        def part(even: float) -> float:
-            return even / nodes + (1.0 - even) * (1.0 / nodes if homes is None else homes)
+        def share(even: float) -> float:
+            return even / nodes + (1.0 - even) * (1.0 / nodes if owned_share is None else owned_share)
 
-        rps = self._rps * USED_SHARE * self._pace * part(EVEN_REQUESTS)
-        wps = self._wps * USED_SHARE * self._pace * part(EVEN_WRITES)
+        rps = self._rps * USED_SHARE * self._pace * share(EVEN_REQUESTS)
+        wps = self._wps * USED_SHARE * self._pace * share(EVEN_WRITES)
         self._requests.set_rate(rps, rps, now)
         self._writes.set_rate(wps, wps, now)
 
@@ -101,31 +101,31 @@
             return
         self._paced_at = now
         self._pace = max(LEAST_PACE, 0.8 * self._pace) if over else min(1.0, 1.02 * self._pace)
-        self.share(*self._part)
+        self.set_share(*self._shares)
 
     @property
-    def served(self) -> bool:
+    def is_served(self) -> bool:
         """Whether the last call to the state service got an answer other than 503."""
         return self.answered_at > self.failed_at
 
-    def write_room(self, priority: Priority) -> int:
+    def available_writes(self, priority: CallPriority) -> int:
         """Changes that could be sent at once at this priority."""
         if self._queues[priority]:
             return 0
         return int(self._writes.level(self._effects.now()) - RESERVED[priority] * self._writes.burst)
 
-    def write_wait(self, count: int, priority: Priority) -> float:
+    def write_wait(self, count: int, priority: CallPriority) -> float:
         """Seconds until `count` changes could be sent at this priority, if nothing else is sent."""
         return self._writes.wait(count, self._effects.now(), RESERVED[priority] * self._writes.burst)
 
-    def backlog(self, priority: Priority) -> float:
+    def backlog(self, priority: CallPriority) -> float:
         """Seconds that a change asked for now would wait for tokens."""
-        queued = sum(call.writes for level in Priority if level <= priority for call in self._queues[level])
+        queued = sum(call.writes for level in CallPriority if level <= priority for call in self._queues[level])
         return self.write_wait(queued + 1, priority)
 
     def _submit(
         self,
-        priority: Priority,
+        priority: CallPriority,
         method: str,
         target: str,
         body: bytes | None,
@@ -143,7 +143,7 @@
         self._pumping = False
         now = self._effects.now()
         pause: float | None = None
-        for priority in Priority:
+        for priority in CallPriority:
             queue = self._queues[priority]
             while queue:
                 call = queue[0]
--- a/tealhook/store/watcher.py
+++ b/tealhook/state_store/watcher.py
@@ -6,7 +6,7 @@
 from typing import Any
 
 from tealhook.loop.effects import Effects
-from tealhook.store.client import Priority, StateClient, WatchKind
+from tealhook.state_store.client import CallPriority, StateClient, WatchKind
 from tealhook.wire import state as wire
 
 RETRY_S = 0.25
@@ -32,8 +32,8 @@
         store: StateClient,
         prefix: str,
         wait_s: float,
-        on_rows: Callable[[list[wire.Row]], Any],
-        on_events: Callable[[list[wire.Event]], Any],
+        on_rows: Callable[[list[wire.KeyValue]], Any],
+        on_events: Callable[[list[wire.WatchEvent]], Any],
     ) -> None:
         """`wait_s`: how long the state service may hold a watch open while nothing changes."""
         self._effects = effects
@@ -59,20 +59,26 @@
         """Bring the view up to date with one call; `done(whether it shows all that was written before this call)`."""
         sent = self._effects.now()
 
-        def answered(_kind: WatchKind, watched: wire.Watched | None) -> None:
+        def answered(_kind: WatchKind, watched: wire.WatchReply | None) -> None:
             if watched is not None:
                 self._advance(watched, sent)
             # An answer that waited in a buffer while this process stood still is as old as that.
             done(watched is not None and self._effects.now() - sent <= timeout_s + REFRESH_WAIT_S)
 
         self._store.watch(
-            self._prefix, self._epoch, 0.0, answered, priority=Priority.ADMIT, queue_s=REFRESH_WAIT_S, spare_s=timeout_s
+            self._prefix,
+            self._epoch,
+            0.0,
+            answered,
+            priority=CallPriority.ADMIT,
+            queue_s=REFRESH_WAIT_S,
+            spare_s=timeout_s,
         )
 
-    def _advance(self, watched: wire.Watched, sent: float) -> None:
+    def _advance(self, watched: wire.WatchReply, sent: float) -> None:
         """Take in the answer to a watch asked for at `sent`. Answers may come in another order than they were asked."""
         self._failures = 0
-        self._epoch = max(self._epoch, watched.epoch)
+        self._epoch = max(self._epoch, watched.revision)
         self.viewed_at = max(self.viewed_at, sent)
         if watched.events:
             self._on_events(watched.events)
@@ -90,12 +96,12 @@
     def _list(self) -> None:
         sent = self._effects.now()
 
-        def done(rows: list[wire.Row] | None, epoch: int) -> None:
+        def done(rows: list[wire.KeyValue] | None, revision: int) -> None:
             if rows is None:
                 self._retry(self._list)
                 return
             self._failures = 0
-            self._epoch = epoch
+            self._epoch = revision
             self.viewed_at = sent
             self.synced = True
             self._on_rows(rows)
@@ -106,7 +112,7 @@
     def _watch(self) -> None:
         sent = self._effects.now()
 
-        def done(kind: WatchKind, watched: wire.Watched | None) -> None:
+        def done(kind: WatchKind, watched: wire.WatchReply | None) -> None:
             if kind == "old":
                 self._list()
                 return
--- a/tealhook/wire/common.py
+++ b/tealhook/wire/common.py
@@ -1,8 +1,8 @@
-"""Encoding helpers shared by every wire format."""
+"""Encoding helpers and value types shared by every wire format."""
 
 from __future__ import annotations
 
-from typing import Any
+from typing import Any, NamedTuple
 
 import msgspec
 
@@ -12,6 +12,17 @@
 DecodeError = msgspec.DecodeError
 
 
+class Resources(NamedTuple):
+    """What a task takes of its machine, or a machine has: an immutable amount of each."""
+
+    vcpus: float
+    gpus: float
+    memory_gb: float
+
+
+NO_RESOURCES = Resources(0.0, 0.0, 0.0)
+
+
 def dumps(value: Any) -> bytes:
     """Encode `value` as one line of JSON."""
     return _encoder.encode(value)
--- a/tealhook/wire/mesh.py
+++ b/tealhook/wire/mesh.py
@@ -4,72 +4,74 @@
 
 import msgspec
 
+LAUNCHING = "launching"  # the status of an observed task whose launch is not resolved
 
-class Shape(msgspec.Struct, array_like=True, frozen=True):
+
+class TaskRequirements(msgspec.Struct, array_like=True, frozen=True):
     """What tasks of one group need of a machine; the unit of inquiries."""
 
     vcpus: float
-    cards: float
+    gpus: float
     memory_gb: float
     image: str
     image_gb: float
-    loaners: bool
-    rigs: tuple[str, ...]
-    urgency: int
+    allows_spot: bool
+    machine_types: tuple[str, ...]
+    priority: int
     run_s: float
 
 
-class Room(msgspec.Struct, array_like=True):
+class Capacity(msgspec.Struct, array_like=True):
     """A part's answer about one shape: free slots now, and when the next one frees."""
 
     cached: int
     uncached: int
-    next_s: float
-    rate: float
+    next_free_s: float
+    fetch_gb_per_s: float
 
 
-class Ask(msgspec.Struct, tag="ask"):
+class CapacityInquiry(msgspec.Struct, tag="ask"):
     """Inquiry for a part's earliest free time."""
 
     zone: str
-    shapes: list[Shape]
+    requirements: list[TaskRequirements] = msgspec.field(name="shapes")
 
 
-class AskReply(msgspec.Struct, tag="ask_r"):
+class CapacityReply(msgspec.Struct, tag="ask_r"):
     """One answer per shape asked for, and the part owner's fencing token."""
 
     token: int
-    rooms: list[Room]
+    capacities: list[Capacity] = msgspec.field(name="rooms")
 
 
-class Want(msgspec.Struct, array_like=True):
+class ReservationRequest(msgspec.Struct, array_like=True):
     """`count` tasks of one job and shape to be given room at once."""
 
     job: str
     team: str
-    shape: Shape
+    requirements: TaskRequirements
     count: int
-    secured: bool
-    aged: bool
-    avoid: list[str]
-    home_token: int
-    preempt: bool
-    firm: bool  # not to be stopped for others: the first task of a job that has waited for long
+    within_guarantee: bool
+    starving: bool
+    avoided_machines: list[str]
+    team_token: int
+    may_preempt: bool
+    non_preemptible: bool  # not to be stopped for others: the first task of a job that has waited for long
 
 
-class Reserve(msgspec.Struct, tag="reserve"):
+class ReserveRequest(msgspec.Struct, tag="reserve"):
     """Reserve capacity for tasks whose assignment is about to be recorded."""
 
     zone: str
-    wants: list[Want]
+    requests: list[ReservationRequest] = msgspec.field(name="wants")
 
 
-class Slot(msgspec.Struct, array_like=True):
+class ReservationGrant(msgspec.Struct, array_like=True):
     """Room held on a machine until it is used or expires."""
 
-    rid: int
+    reservation_id: int
     machine: str
-    shift: int
+    session: int
     fetch_s: float
 
 
@@ -77,38 +79,38 @@
     """The reservations made for each item of the request; fewer than asked for where room is short."""
 
     token: int
-    slots: list[list[Slot]]
+    grants: list[list[ReservationGrant]] = msgspec.field(name="slots")
 
 
-class Start(msgspec.Struct, array_like=True):
+class TaskStart(msgspec.Struct, array_like=True):
     """Use of a reservation, after the assignment is durable."""
 
-    rid: int
+    reservation_id: int
     job: str
     index: int
     attempt: int
 
 
-class Launch(msgspec.Struct, tag="launch"):
+class LaunchRequest(msgspec.Struct, tag="launch"):
     """Start tasks on reservations, once their assignments are recorded."""
 
     zone: str
     token: int
     team: str
-    home_token: int
-    starts: list[Start]
+    team_token: int = msgspec.field(name="home_token")
+    starts: list[TaskStart]
 
 
 class LaunchReply(msgspec.Struct, tag="launch_r"):
     """`seq`: status updates with a higher number under this token include the launches taken."""
 
     token: int
-    seq: int
+    sequence: int = msgspec.field(name="seq")
     refused: list[int]
 
 
-class Seen(msgspec.Struct, array_like=True):
-    """A task on a machine; status `launching` while its launch is not resolved."""
+class ObservedTask(msgspec.Struct, array_like=True):
+    """A task on a machine; `status`: as reported, or `LAUNCHING`."""
 
     job: str
     index: int
@@ -117,7 +119,7 @@
     cause: str | None = None
 
 
-class MachineNews(msgspec.Struct, tag="news"):
+class StatusUpdate(msgspec.Struct, tag="news"):
     """A status update: all tasks of one team on one machine, as of (shift, tick).
 
     `seq` numbers the updates of a part's owner under one token, since two connections may deliver them out of order.
@@ -126,14 +128,14 @@
     zone: str
     team: str
     token: int
-    seq: int
+    sequence: int = msgspec.field(name="seq")
     machine: str
-    shift: int
-    tick: int
-    seen: list[Seen]
+    session: int = msgspec.field(name="shift")
+    report_sequence: int = msgspec.field(name="tick")
+    tasks: list[ObservedTask] = msgspec.field(name="seen")
 
 
-class Look(msgspec.Struct, tag="look"):
+class ReconcileRequest(msgspec.Struct, tag="look"):
     """A home asks for reconciliation of machines; its token ends launches by earlier owners of the home.
 
     `heard`: the number of the newest update that it has of each; only newer ones are sent. 0: all of them again.
@@ -141,40 +143,40 @@
 
     zone: str
     team: str
-    home_token: int
+    team_token: int = msgspec.field(name="home_token")
     machines: list[str]
-    heard: list[int]
+    known_sequences: list[int] = msgspec.field(name="heard")
 
 
-class LookReply(msgspec.Struct, tag="look_r"):
+class ReconcileReply(msgspec.Struct, tag="look_r"):
     """`silent`: seconds since each machine's last report; -1: none under this token.
 
     `lone`: most of the part's machines report, so the silent ones are not silent because the part is cut off.
     """
 
     token: int
-    seq: int
-    silent: list[float]
+    sequence: int = msgspec.field(name="seq")
+    silent_s: list[float] = msgspec.field(name="silent")
     owned_s: float
-    lone: bool = False
+    mostly_reporting: bool = msgspec.field(default=False, name="lone")
 
 
-class Stop(msgspec.Struct, tag="stop"):
+class StopRequest(msgspec.Struct, tag="stop"):
     """Kill or clear attempts: [machine, job, index, attempt, wind_down]; wind_down < 0 clears."""
 
     zone: str
     team: str
-    home_token: int
+    team_token: int = msgspec.field(name="home_token")
     items: list[tuple[str, str, int, int, float]]
 
 
-class Fence(msgspec.Struct, tag="fence"):
+class FenceRequest(msgspec.Struct, tag="fence"):
     """Ask the fleet to release machines, so that what was on them is provably gone."""
 
     machines: list[str]
 
 
-class Gone(msgspec.Struct, tag="gone"):
+class MachinesReleased(msgspec.Struct, tag="gone"):
     """These machines are gone with all that was on them."""
 
     machines: list[str]
@@ -184,61 +186,63 @@
     """Waiting tasks of one shape of a team."""
 
     team: str
-    shape: Shape
-    yard: str | None
+    requirements: TaskRequirements
+    zone: str | None
     count: int
-    lineup: str
+    job_class: str
 
 
-class BoxState(msgspec.Struct, array_like=True):
+class MachineState(msgspec.Struct, array_like=True):
     """A machine as its part's owner sees it, for the fleet's owner."""
 
     name: str
-    rig: str
-    loaners: bool
-    used: float
+    machine_type: str
+    spot: bool
+    used_cpus: float
     empty_s: float  # estimated seconds until its tasks have ended
-    heard_s: float
-    doomed: bool
+    silent_s: float
+    terminating: bool
     drained: bool  # given nothing more, and empty
-    sick: bool
+    unhealthy: bool
 
 
-class Drain(msgspec.Struct, tag="drain"):
+class DrainRequest(msgspec.Struct, tag="drain"):
     """The fleet asks a part to give nothing more to machines that it will return."""
 
     zone: str
     machines: list[str]
 
 
-class Usage(msgspec.Struct, array_like=True):
+class TeamUsage(msgspec.Struct, array_like=True):
     """What a team's tasks take; `urgent`: the part of it above standard urgency."""
 
     team: str
     cpus: float
-    urgent: float
-    over: float
+    urgent_cpus: float
+    over_guarantee_cpus: float
 
 
 class Gossip(msgspec.Struct, tag="gossip"):
     """What every node tells every other one from time to time."""
 
     node: str
-    state_age: float
-    owned: dict[str, int]
-    usage: list[Usage] = []
+    state_age_s: float = msgspec.field(name="state_age")
+    tokens: dict[str, int] = msgspec.field(name="owned")
+    usage: list[TeamUsage] = []
     demand: list[Demand] = []
-    boxes: dict[str, list[BoxState]] = {}
+    machines: dict[str, list[MachineState]] = msgspec.field(default_factory=dict, name="boxes")
     progress: dict[str, tuple[int, int]] = {}
-    addrs: dict[str, dict[str, str]] = {}  # from the fleet's owner: zone -> machine -> address
+    addresses: dict[str, dict[str, str]] = msgspec.field(
+        default_factory=dict, name="addrs"
+    )  # from the fleet's owner: zone -> machine -> address
     blocked: list[Demand] = []  # of jobs that may not use spot machines: tasks soon to be released,
     placed: list[Demand] = []  # and tasks that have a machine
 
 
-class Relay(msgspec.Struct, tag="relay"):
+class RelayRequest(msgspec.Struct, tag="relay"):
     """A report taken on the owner's behalf from a worker that cannot reach the owner."""
 
-    report: bytes
+    heartbeat: bytes = msgspec.field(name="report")
 
 
 class RelayReply(msgspec.Struct, tag="relay_r"):
@@ -248,7 +252,7 @@
     body: bytes
 
 
-class Forward(msgspec.Struct, tag="forward"):
+class ForwardRequest(msgspec.Struct, tag="forward"):
     """A user's request taken by a node that the state service does not serve, for one that it does."""
 
     method: str
@@ -261,40 +265,40 @@
 
     status: int
     body: bytes
-    after: int | None
+    retry_after_s: int | None = msgspec.field(name="after")
 
 
-class Ok(msgspec.Struct, tag="ok"):
+class Acknowledged(msgspec.Struct, tag="ok"):
     """The request was carried out; there is nothing to tell."""
 
 
-class No(msgspec.Struct, tag="no"):
+class Refused(msgspec.Struct, tag="no"):
     """The receiver is not in a position to answer (not the owner, stale token)."""
 
-    why: str
+    reason: str = msgspec.field(name="why")
 
 
 Body = (
-    Ask
-    | AskReply
-    | Reserve
+    CapacityInquiry
+    | CapacityReply
+    | ReserveRequest
     | ReserveReply
-    | Launch
+    | LaunchRequest
     | LaunchReply
-    | MachineNews
-    | Look
-    | LookReply
-    | Stop
-    | Fence
-    | Gone
-    | Drain
+    | StatusUpdate
+    | ReconcileRequest
+    | ReconcileReply
+    | StopRequest
+    | FenceRequest
+    | MachinesReleased
+    | DrainRequest
     | Gossip
-    | Relay
+    | RelayRequest
     | RelayReply
-    | Forward
+    | ForwardRequest
     | ForwardReply
-    | Ok
-    | No
+    | Acknowledged
+    | Refused
 )
 
 
--- a/tealhook/wire/state.py
+++ b/tealhook/wire/state.py
@@ -10,76 +10,76 @@
 from tealhook.wire.common import dumps
 
 
-class Row(msgspec.Struct):
+class KeyValue(msgspec.Struct):
     """A key with its value; `stamp` is the revision of its last change, `hold` the lease that it ends with."""
 
-    path: str
-    v: Any
-    stamp: int
-    hold: int | None = None
+    key: str = msgspec.field(name="path")
+    value: Any = msgspec.field(name="v")
+    mod_revision: int = msgspec.field(name="stamp")
+    lease_id: int | None = msgspec.field(default=None, name="hold")
 
 
-class Rows(msgspec.Struct):
+class KeyRange(msgspec.Struct):
     """One page of a list, as of revision `epoch`."""
 
-    rows: list[Row]
+    items: list[KeyValue] = msgspec.field(name="rows")
     more: bool = False
-    epoch: int = 0
+    revision: int = msgspec.field(default=0, name="epoch")
 
 
 class Absent(msgspec.Struct):
     """No such key as of revision `epoch`."""
 
-    epoch: int
+    revision: int = msgspec.field(name="epoch")
 
 
-class Granted(msgspec.Struct):
+class LeaseGranted(msgspec.Struct):
     """The id of a new lease."""
 
-    hold: int
+    lease_id: int = msgspec.field(name="hold")
 
 
 class Committed(msgspec.Struct):
     """A transaction was executed as revision `epoch`."""
 
-    epoch: int
+    revision: int = msgspec.field(name="epoch")
 
 
 class Conflict(msgspec.Struct):
     """A transaction was not executed: the keys whose conditions failed."""
 
-    failed: list[str]
-    epoch: int = 0
+    failed_keys: list[str] = msgspec.field(name="failed")
+    revision: int = msgspec.field(default=0, name="epoch")
 
 
-class Event(msgspec.Struct):
+class WatchEvent(msgspec.Struct):
     """A change of one key: `write` names a key put, `drop` one deleted."""
 
-    write: str | None = None
-    drop: str | None = None
-    v: Any = None
-    stamp: int = 0
+    put_key: str | None = msgspec.field(default=None, name="write")
+    deleted_key: str | None = msgspec.field(default=None, name="drop")
+    value: Any = msgspec.field(default=None, name="v")
+    mod_revision: int = msgspec.field(default=0, name="stamp")
 
     @property
     def key(self) -> str:
         """The key that changed."""
-        return self.write or self.drop or ""
+        return self.put_key or self.deleted_key or ""
 
 
-class Watched(msgspec.Struct):
+class WatchReply(msgspec.Struct):
     """Changes since the revision asked for, up to revision `epoch`."""
 
-    epoch: int
-    events: list[Event] = []
+    revision: int = msgspec.field(name="epoch")
+    events: list[WatchEvent] = []
 
 
-row_decoder = msgspec.json.Decoder(Row)
-rows_decoder = msgspec.json.Decoder(Rows)
+row_decoder = msgspec.json.Decoder(KeyValue)
+rows_decoder = msgspec.json.Decoder(KeyRange)
 absent_decoder = msgspec.json.Decoder(Absent)
-granted_decoder = msgspec.json.Decoder(Granted)
+granted_decoder = msgspec.json.Decoder(LeaseGranted)
 committed_decoder = msgspec.json.Decoder(Committed)
 conflict_decoder = msgspec.json.Decoder(Conflict)
-watched_decoder = msgspec.json.Decoder(Watched)
+watched_decoder = msgspec.json.Decoder(WatchReply)
 
 
 Conditions = dict[str, int]  # key -> the revision of its last change that it must have; 0: it must not exist
--- a/tealhook/wire/users.py
+++ b/tealhook/wire/users.py
@@ -1,28 +1,51 @@
-"""Users -> controllers: jobs as submitted, and what is answered about them."""
+"""Users -> controllers: jobs as submitted, and what is answered about them.
+
+Field names are the field's terms; `name=` gives the name that the protocol has for each of them.
+"""
 
 from __future__ import annotations
 
-import json
-import math
+import enum
 import re
-from collections.abc import Callable
-from typing import Any
 
 import msgspec
 
-MAX_TASKS = 100_000
-MAX_LINEUP = 200  # characters; the name goes along with demand from node to node
-URGENCIES = ("low", "standard", "urgent", "production")
-ARRAY, GANG, SERVICE = "array", "group", "service"
-SHAPES = (ARRAY, GANG, SERVICE)
-URGENCY_RANK = {name: rank for rank, name in enumerate(URGENCIES)}
+from tealhook.wire.common import Resources
+
 _JOB_ID = re.compile(r"req-[0-9A-Za-z_.-]{1,64}\Z")
 
 
-class InvalidJobError(ValueError):
-    """A submission that is malformed (400)."""
+class JobKind(enum.StrEnum):
+    """How the tasks of a job belong together."""
+
+    ARRAY = "array"  # independent tasks, each runs to completion
+    GANG = "group"  # all tasks start together, or none does
+    SERVICE = "service"  # runs until it is cancelled
+
+
+class JobPriority(enum.StrEnum):
+    """What a job goes before, the least first. Not the priority of a call to the state service."""
+
+    LOW = "low"
+    STANDARD = "standard"
+    URGENT = "urgent"
+    PRODUCTION = "production"
+
+    @property
+    def rank(self) -> int:
+        """The position among all priorities, by which they are compared."""
+        return PRIORITY_RANK[self]
 
-    job: str | None = None  # its id; None when none can be read, so that it repeats nothing
+
+PRIORITY_RANK: dict[str, int] = {priority: rank for rank, priority in enumerate(JobPriority)}
+STANDARD_RANK = PRIORITY_RANK[JobPriority.STANDARD]
+
+
+class DisplayedStatus(enum.StrEnum):
+    """The status of a job as its user is told; one that is over has the status of its record."""
+
+    PENDING = "pending"
+    RUNNING = "running"
 
 
 class JobSpec(msgspec.Struct, omit_defaults=True):
@@ -31,38 +54,38 @@
     Job records hold it without what has its default, so it is read more leniently than `parse_job` reads users.
     """
 
-    name_id: str
-    lineup: str
-    crew: str
-    shape: str
-    urgency: str
-    plays: int
+    job_id: str = msgspec.field(name="name_id")
+    job_class: str = msgspec.field(name="lineup")
+    team: str = msgspec.field(name="crew")
+    kind: str = msgspec.field(name="shape")
+    priority: str = msgspec.field(name="urgency")
+    task_count: int = msgspec.field(name="plays")
     vcpus: float
     memory_gb: float
-    cards: float = 0.0
-    playbook: str | None = None
-    pull_gb: float = 0.0
-    rigs: list[str] | None = None
-    yard: str | None = None
-    together: bool = False
+    gpus: float = msgspec.field(default=0.0, name="cards")
+    image: str | None = msgspec.field(default=None, name="playbook")
+    image_gb: float = msgspec.field(default=0.0, name="pull_gb")
+    machine_types: list[str] | None = msgspec.field(default=None, name="rigs")
+    zone: str | None = msgspec.field(default=None, name="yard")
+    single_zone: bool = msgspec.field(default=False, name="together")
     spread: bool = False
-    loaners: bool = False
-    expected_s: float = 0.0
-    snapshot_every_s: float = 0.0
-    snapshot_s: float = 0.0
-    due_s: float | None = None
-    waits_on: list[str] = []
+    allows_spot: bool = msgspec.field(default=False, name="loaners")
+    estimated_run_s: float = msgspec.field(default=0.0, name="expected_s")
+    checkpoint_interval_s: float = msgspec.field(default=0.0, name="snapshot_every_s")
+    checkpoint_s: float = msgspec.field(default=0.0, name="snapshot_s")
+    deadline_s: float | None = msgspec.field(default=None, name="due_s")
+    depends_on: list[str] = msgspec.field(default_factory=list, name="waits_on")
 
     @property
-    def need(self) -> tuple[float, float, float]:
-        """CPUs, cards and memory that one task takes of its machine."""
-        return (self.vcpus, self.cards, self.memory_gb)
+    def resources(self) -> Resources:
+        """What one task takes of its machine."""
+        return Resources(self.vcpus, self.gpus, self.memory_gb)
 
 
 class JobStatus(msgspec.Struct, omit_defaults=True):
     """The answer to a poll, a submission or a cancellation."""
 
-    name_id: str
+    job_id: str = msgspec.field(name="name_id")
     status: str
     done: int | None = None
     running: int | None = None
@@ -71,160 +94,3 @@
 def valid_job_id(text: str) -> bool:
     """Whether `text` has the form of a job id."""
     return bool(_JOB_ID.match(text))
-
-
-_fields_decoder = msgspec.json.Decoder(dict[str, msgspec.Raw])
-_value_decoder = msgspec.json.Decoder()
-_AFTER_NAME = re.compile(r'"\s*:')  # follows each name of an object, and rarely stands elsewhere
-
-
-def _name(value: Any) -> str:
-    if type(value) is not str or not value:
-        raise InvalidJobError("must be a string, and not empty")
-    return value
-
-
-def _lineup(value: Any) -> str:
-    if len(_name(value)) > MAX_LINEUP:
-        raise InvalidJobError(f"must have at most {MAX_LINEUP} characters")
-    return value
-
-
-def _one_of(names: tuple[str, ...]) -> Callable[[Any], str]:
-    def check(value: Any) -> str:
-        if type(value) is not str or value not in names:
-            raise InvalidJobError(f"must be one of {', '.join(names)}")
-        return value
-
-    return check
-
-
-def _plays(value: Any) -> int:
-    # A count is an integer: 16.0 is an amount, as true is a flag.
-    if type(value) is not int or not 1 <= value <= MAX_TASKS:
-        raise InvalidJobError(f"must be an integer between 1 and {MAX_TASKS}")
-    return value
-
-
-def _amount(value: Any) -> float:
-    if type(value) is int or type(value) is float:
-        try:
-            amount = float(value)
-        except OverflowError:
-            amount = math.inf
-        if math.isfinite(amount) and amount >= 0:
-            return amount + 0.0  # -0.0 is 0.0
-    raise InvalidJobError("must be a number, finite and not negative")
-
-
-def _flag(value: Any) -> bool:
-    if type(value) is not bool:
-        raise InvalidJobError("must be true or false")
-    return value
-
-
-def _rigs(value: Any) -> list[str]:
-    if type(value) is not list or not value:
-        raise InvalidJobError("must be a list of at least one type, or null")
-    return [_name(rig) for rig in value]
-
-
-def _job_ids(value: Any) -> list[str]:
-    if type(value) is not list or not all(type(job) is str and valid_job_id(job) for job in value):
-        raise InvalidJobError("must be a list of job ids, or null")
-    return list(dict.fromkeys(value))  # to name a job twice says nothing more
-
-
-# Each field of a submission but its id; NULLABLE are those that the protocol calls null or something else.
-_CHECKS: dict[str, Callable[[Any], Any]] = {
-    "lineup": _lineup,
-    "crew": _name,
-    "shape": _one_of(SHAPES),
-    "urgency": _one_of(URGENCIES),
-    "plays": _plays,
-    "vcpus": _amount,
-    "cards": _amount,
-    "memory_gb": _amount,
-    "playbook": _name,
-    "pull_gb": _amount,
-    "rigs": _rigs,
-    "yard": _name,
-    "together": _flag,
-    "spread": _flag,
-    "loaners": _flag,
-    "expected_s": _amount,
-    "snapshot_every_s": _amount,
-    "snapshot_s": _amount,
-    "due_s": _amount,
-    "waits_on": _job_ids,
-}
-NULLABLE = frozenset(("rigs", "yard", "due_s", "waits_on"))
-
-
-def _repeated(text: str, fields: dict[str, msgspec.Raw]) -> set[str]:
-    """Names that an object has more than once: nobody can say which of their values is meant."""
-    if len(_AFTER_NAME.findall(text)) == len(fields):
-        return set()  # as many names as fields, so each once
-    seen: set[str] = set()
-    repeated: set[str] = set()
-    for name, _text in json.loads(text, object_pairs_hook=list, parse_int=str, parse_float=str):
-        (repeated if name in seen else seen).add(name)
-    return repeated
-
-
-def _value(fields: dict[str, msgspec.Raw], name: str) -> Any:
-    """What a field holds; None also when it is missing."""
-    raw = fields.get(name)
-    if raw is None:
-        return None
-    try:
-        return _value_decoder.decode(raw)
-    except msgspec.DecodeError as exc:  # a number too large for any type, for one
-        raise InvalidJobError(str(exc)) from None
-
-
-def _checked(fields: dict[str, msgspec.Raw], name: str) -> Any:
-    try:
-        value = _value(fields, name)
-        if value is None:
-            if name in NULLABLE:
-                return None
-            raise InvalidJobError("must not be null" if name in fields else "missing")
-        return _CHECKS[name](value)
-    except InvalidJobError as exc:
-        raise InvalidJobError(f"{name}: {exc}") from None
-
-
-def _checked_spec(job: str, fields: dict[str, msgspec.Raw], repeated: set[str]) -> JobSpec:
-    for name in _CHECKS:
-        if name in repeated:
-            raise InvalidJobError(f"{name}: given more than once")
-    spec = JobSpec(job, **{name: _checked(fields, name) for name in _CHECKS})
-    spec.waits_on = spec.waits_on or []
-    if spec.vcpus == 0 and spec.cards == 0 and spec.memory_gb == 0:
-        raise InvalidJobError("vcpus, cards, memory_gb: a task must take something")
-    # Malformed, not 422: the fields contradict each other, whatever teams and types there are.
-    if spec.spread and spec.plays > 1 and (spec.together or spec.yard is not None):
-        raise InvalidJobError("spread: contradicts together or yard, which ask for one zone")
-    return spec
-
-
-def parse_job(body: bytes) -> JobSpec:
-    """Decode and check a submission; raises InvalidJobError when it is malformed.
-
-    The id is read first, and alone: with it, even a malformed body may repeat a job that was accepted.
-    """
-    try:
-        text = str(body, "utf-8")
-        fields = _fields_decoder.decode(text)
-        repeated = _repeated(text, fields)
-    except (msgspec.DecodeError, ValueError, RecursionError) as exc:
-        raise InvalidJobError(str(exc)) from None
-    job = _value(fields, "name_id")
-    if type(job) is not str or not valid_job_id(job) or "name_id" in repeated:
-        raise InvalidJobError("name_id: not a job id, or not one alone")
-    try:
-        return _checked_spec(job, fields, repeated)
-    except InvalidJobError as exc:
-        exc.job = job
-        raise
