--- a/tealhook/controller.py
+++ b/tealhook/controller.py
@@ -8,7 +8,9 @@
 from tealhook.coordination import FLEET_KEY, Ownership, Versions, team_key
 from tealhook.coordination.balancing import PARTITION_PREFIX, TEAM_PREFIX
 from tealhook.fleet import FleetManager
-from tealhook.gossip import GossipExchange, PeerStates
+from tealhook.forwarding import RequestForwarder
+from tealhook.gossip import FleetInputs, GossipReceiver, GossipSender, GossipSources, PeerStates
+from tealhook.health_check import HealthCheck
 from tealhook.jobs import JobIndex, JobState
 from tealhook.loop.effects import Effects, every
 from tealhook.mesh import Mesh
@@ -63,33 +65,25 @@
         self.admission = Admission(
             context, self.state_client, self.job_index, self.machine_types, self._progress, self.versions
         )
-        self.gossip = GossipExchange(
-            context,
-            self.ownership,
-            self.state_client,
-            self.mesh,
-            self.job_index,
-            self.partition_manager,
-            self.team_scheduler,
-            self.fleet_manager,
-            peers,
-            self._progress,
+        fleet_inputs = FleetInputs(context, self.ownership)
+        gossip_receiver = GossipReceiver(
+            context, self.ownership, self.job_index, self.partition_manager, peers, fleet_inputs, self._progress
         )
+        gossip_sources = GossipSources(
+            self.ownership, self.state_client, self.partition_manager, self.team_scheduler, self.fleet_manager
+        )
+        self.gossip_sender = GossipSender(context, self.mesh, gossip_sources, gossip_receiver, fleet_inputs)
         self.api = Api(
-            context,
-            self.state_client,
-            self.job_index,
-            self.mesh,
             self.partition_manager,
             self.admission,
-            self.versions,
-            peers,
+            HealthCheck(context, self.state_client, self.job_index, peers),
+            RequestForwarder(context, self.state_client, self.mesh, self.versions, peers),
         )
         self.on_request = self.api.on_request  # called for every request of users, workers and health checks
         handler = MeshHandler(
-            self.gossip, self.team_scheduler, self.partition_manager, self.fleet_manager, self.api.on_user
+            gossip_receiver, self.team_scheduler, self.partition_manager, self.fleet_manager, self.api.on_user
         )
-        self.mesh.handler = handler.on_message
+        self.mesh.start(handler)
         self.mesh.current_incarnation = self.ownership.incarnation_of
         self.ownership.is_reachable = peers.reachable
         self.ownership.is_unheard = self.partition_manager.is_unheard
@@ -102,7 +96,7 @@
         self.job_index.start()
         self.ownership.start()
         self.versions.start()
-        every(self.context.effects, self.context.workers.report_s / 2, self.gossip.send)
+        every(self.context.effects, self.context.workers.report_s / 2, self.gossip_sender.send)
 
     def _on_ownership_change(self, key: str, token: int | None) -> None:
         if key == FLEET_KEY:
--- /dev/null
+++ b/tealhook/gossip/__init__.py
@@ -0,0 +1,8 @@
+"""Gossip: the periodic messages by which controllers tell each other their state."""
+
+from tealhook.gossip.fleet_inputs import FleetInputs
+from tealhook.gossip.peer_states import PeerStates
+from tealhook.gossip.receiver import GossipReceiver
+from tealhook.gossip.sender import GossipSender, GossipSources
+
+__all__ = ["FleetInputs", "GossipReceiver", "GossipSender", "GossipSources", "PeerStates"]
--- a/tealhook/http/__init__.py
+++ b/tealhook/http/__init__.py
@@ -2,6 +2,6 @@
 
 from tealhook.http.client import HttpClient
 from tealhook.http.parser import HttpError, MessageParser, Request, Response
-from tealhook.http.server import HttpServer, Reply
+from tealhook.http.server import HttpServer, Reply, RequestHandler
 
-__all__ = ["HttpClient", "HttpError", "HttpServer", "MessageParser", "Reply", "Request", "Response"]
+__all__ = ["HttpClient", "HttpError", "HttpServer", "MessageParser", "Reply", "Request", "RequestHandler", "Response"]
--- a/tealhook/http/parser.py
+++ b/tealhook/http/parser.py
@@ -39,6 +39,11 @@
         self.body = b""
         self.keep_alive = keep_alive
 
+    @property
+    def path(self) -> str:
+        """The target without its query."""
+        return self.target.split("?", 1)[0]
+
 
 class Response:
     """A response whose body has arrived whole."""
--- a/tealhook/http/server.py
+++ b/tealhook/http/server.py
@@ -28,7 +28,7 @@
         ...
 
 
-Handler = Callable[[Request, Reply], None]
+RequestHandler = Callable[[Request, Reply], None]
 
 
 class _Connection:
@@ -126,7 +126,7 @@
         self,
         loop: Loop,
         addr: str,
-        handler: Handler,
+        handler: RequestHandler,
         *,
         max_connections: int,
         idle_s: float,
--- a/tealhook/mesh/__init__.py
+++ b/tealhook/mesh/__init__.py
@@ -1,5 +1,5 @@
 """Controller-to-controller messages: calls, replies and gossip."""
 
-from tealhook.mesh.mesh import Mesh
+from tealhook.mesh.mesh import Mesh, MessageHandler, MessageReply
 
-__all__ = ["Mesh"]
+__all__ = ["Mesh", "MessageHandler", "MessageReply"]
--- a/tealhook/mesh/mesh.py
+++ b/tealhook/mesh/mesh.py
@@ -4,24 +4,43 @@
 
 import logging
 from collections.abc import Callable
-from typing import Any
+from typing import Any, Protocol
 
 import msgspec
 
 from tealhook.context import NodeContext
 from tealhook.wire import mesh as wire
 
-log = logging.getLogger("tealhook.mesh")
+log = logging.getLogger(__name__)
 
-MAX_PROCESSES = 256
+MAX_PROCESSES = 256  # whose newest gossip is remembered
+NEVER_S = -1e9  # a time before all others
 
-Answered = Callable[[wire.Body | None], Any]  # the reply, or None when none came in time
-Reply = Callable[[wire.Body], None]
-Handler = Callable[[str, wire.Body, Reply], None]  # of sender, message and a function to reply with
+OnReply = Callable[[wire.Body | None], Any]  # is given the reply, or None when none came in time
+
+
+class MessageReply(Protocol):
+    """Sends the reply to one message; has no effect where the sender expects none."""
+
+    def __call__(self, body: wire.Body, /) -> object:
+        """Send `body` as the reply."""
+        ...
+
+
+class MessageHandler(Protocol):
+    """Handles messages of other controllers, and of this one to itself."""
+
+    def on_message(self, sender: str, body: wire.Body, reply: MessageReply, /) -> None:
+        """Handle a message; `reply` may be called at once, later, or never."""
+        ...
+
+
+def _discard_reply(_body: wire.Body) -> None:
+    """Take the reply to a message that expects none."""
 
 
 class Mesh:
-    """`handler(sender, body, reply)` serves requests; `reply` may be called later, or never."""
+    """Sends messages and calls to other controllers, and hands theirs to a handler."""
 
     def __init__(self, context: NodeContext) -> None:
         """Frames are accepted from the peers that the settings name."""
@@ -30,77 +49,91 @@
         self.peers = list(context.settings.peers)
         self._incarnation = context.incarnation
         self._number = 0
-        self._pending: dict[int, Answered] = {}
-        self._numbers: dict[tuple[str, int], int] = {}  # (sender, incarnation) -> number of its newest gossip
+        self._pending_calls: dict[int, OnReply] = {}  # by the number of the call
+        self._newest_gossip: dict[tuple[str, int], int] = {}  # (sender, incarnation) -> number of its newest gossip
         self.current_incarnation: Callable[[str], int | None] = lambda _peer: None  # as registered, if it is
-        self.heard: dict[str, float] = {}
-        self.handler: Handler = lambda _sender, _body, _reply: None
+        self._heard_at: dict[str, float] = {}  # peer -> when its last message came
+        self._handler: MessageHandler  # set by `start`, before any message is sent or received
+
+    def start(self, handler: MessageHandler) -> None:
+        """Hand messages to `handler` from now on."""
+        self._handler = handler
 
-    def _frame(self, call: int, body: wire.Body) -> bytes:
+    def seconds_since_heard(self, peer: str) -> float:
+        """Seconds since the last message of a peer; more than any limit when there was none."""
+        return self._effects.now() - self._heard_at.get(peer, NEVER_S)
+
+    def _encode(self, call: int, body: wire.Body) -> bytes:
+        """Encode a message under the next number."""
         self._number += 1
-        return wire.envelope_encoder.encode(wire.Envelope(self.node, self._incarnation, self._number, call, body))
+        return self._encode_numbered(self._number, call, body)
+
+    def _encode_numbered(self, number: int, call: int, body: wire.Body) -> bytes:
+        return wire.envelope_encoder.encode(wire.Envelope(self.node, self._incarnation, number, call, body))
 
     def send(self, peer: str, body: wire.Body) -> None:
         """One-way. To ourselves it is delivered in the next turn of the loop."""
         if peer == self.node:
-            self._effects.later(0.0, lambda: self.handler(self.node, body, lambda _reply: None))
+            self._effects.later(0.0, lambda: self._handler.on_message(self.node, body, _discard_reply))
         else:
-            self._effects.mesh(peer, self._frame(0, body), soon=True)
+            self._effects.mesh(peer, self._encode(wire.NO_REPLY, body), soon=True)
 
     def broadcast(self, body: wire.Body) -> None:
         """One-way to every node, this one included."""
         for peer in (self.node, *self.peers):
             self.send(peer, body)
 
-    def call(self, peer: str, body: wire.Body, timeout: float, answered: Answered) -> None:
-        """Exactly one call of `answered`: with the reply, or None."""
+    def call(self, peer: str, body: wire.Body, timeout_s: float, on_reply: OnReply) -> None:
+        """Send a request; `on_reply` is called exactly once, with the reply, or None after `timeout_s`."""
         self._number += 1
         number = self._number
-        timer = self._effects.later(timeout, lambda: self._finish(number, None))
+        timer = self._effects.later(timeout_s, lambda: self._finish(number, None))
 
-        def once(reply: wire.Body | None) -> None:
+        def finish(reply: wire.Body | None) -> None:
             timer.cancel()
-            answered(reply)
+            on_reply(reply)
 
-        self._pending[number] = once
+        self._pending_calls[number] = finish
         if peer == self.node:
-            self._effects.later(0.0, lambda: self.handler(self.node, body, lambda reply: self._finish(number, reply)))
+            self._effects.later(
+                0.0, lambda: self._handler.on_message(self.node, body, lambda reply: self._finish(number, reply))
+            )
         else:
-            frame = wire.envelope_encoder.encode(wire.Envelope(self.node, self._incarnation, number, number, body))
-            self._effects.mesh(peer, frame)
+            self._effects.mesh(peer, self._encode_numbered(number, number, body))
 
     def _finish(self, number: int, reply: wire.Body | None) -> None:
-        answered = self._pending.pop(number, None)
-        if answered is not None:
-            answered(reply)
+        """End a call, unless it has ended already."""
+        finish = self._pending_calls.pop(number, None)
+        if finish is not None:
+            finish(reply)
 
     def on_frame(self, frame: bytes) -> None:
-        """A frame from a peer; one that can't be read is treated as not received."""
+        """Handle a frame from a peer; one that can't be decoded is treated as not received."""
         try:
             envelope = wire.envelope_decoder.decode(frame)
         except msgspec.DecodeError as exc:
-            log.error("mesh: bad message: %s", exc)
+            log.error("mesh: undecodable message: %s", exc)
             return
         sender = envelope.sender
         if sender not in self.peers:
             return
-        self.heard[sender] = self._effects.now()
-        if envelope.call < 0:
+        self._heard_at[sender] = self._effects.now()
+        if envelope.call < wire.NO_REPLY:
             # A reply names the call's number; the incarnation guards against replies to an earlier process of ours.
             if envelope.incarnation == self._incarnation:
                 self._finish(-envelope.call, envelope.body)
             return
-        if isinstance(envelope.body, wire.Gossip) and not self._newest(envelope):
+        if isinstance(envelope.body, wire.Gossip) and not self._is_newest(envelope):
             return
 
         def reply(body: wire.Body) -> None:
-            if envelope.call:
+            if envelope.call != wire.NO_REPLY:
                 answer = wire.Envelope(self.node, envelope.incarnation, 0, -envelope.call, body)
                 self._effects.mesh(sender, wire.envelope_encoder.encode(answer))
 
-        self.handler(sender, envelope.body, reply)
+        self._handler.on_message(sender, envelope.body, reply)
 
-    def _newest(self, envelope: wire.Envelope) -> bool:
+    def _is_newest(self, envelope: wire.Envelope) -> bool:
         """Whether gossip is newer than all before from that process, and that process is the registered one.
 
         This guards against delayed copies from before one or several restarts: they must not be taken for current, and
@@ -110,9 +143,9 @@
         if current is not None and current != envelope.incarnation:
             return False
         key = (envelope.sender, envelope.incarnation)
-        if envelope.number <= self._numbers.get(key, 0):
+        if envelope.number <= self._newest_gossip.get(key, 0):
             return False
-        if len(self._numbers) > MAX_PROCESSES:
-            self._numbers.clear()
-        self._numbers[key] = envelope.number
+        if len(self._newest_gossip) > MAX_PROCESSES:
+            self._newest_gossip.clear()
+        self._newest_gossip[key] = envelope.number
         return True
--- a/tealhook/mesh/transport.py
+++ b/tealhook/mesh/transport.py
@@ -10,7 +10,7 @@
 from tealhook.loop.stream import Stream, listen
 from tealhook.wire.mesh import MAX_FRAME
 
-log = logging.getLogger("tealhook.mesh")
+log = logging.getLogger(__name__)
 
 HEAD = 4
 MAX_QUEUED = 2 * MAX_FRAME  # to a peer that does not read; the gossip of thousands of machines is one frame
--- a/tealhook/mesh_handler.py
+++ b/tealhook/mesh_handler.py
@@ -2,13 +2,10 @@
 
 from __future__ import annotations
 
-from collections.abc import Callable
-from typing import Any
-
 from tealhook.fleet import FleetManager
-from tealhook.gossip import GossipExchange
-from tealhook.http import Request
-from tealhook.mesh.mesh import Reply
+from tealhook.gossip import GossipReceiver
+from tealhook.http import Request, RequestHandler
+from tealhook.mesh import MessageReply
 from tealhook.partitions import PartitionManager
 from tealhook.partitions.partition import Partition
 from tealhook.scheduling import TeamScheduler
@@ -25,15 +22,15 @@
 
 
 class MeshHandler:
-    """Takes each message to the component that owns what it is about."""
+    """Hands each message to the component that it concerns."""
 
     def __init__(
         self,
-        gossip: GossipExchange,
+        gossip: GossipReceiver,
         team_scheduler: TeamScheduler,
         partition_manager: PartitionManager,
         fleet_manager: FleetManager,
-        on_user_request: Callable[..., Any],
+        on_user_request: RequestHandler,
     ) -> None:
         """`on_user_request` decides users' requests that another controller could not."""
         self._gossip = gossip
@@ -42,7 +39,7 @@
         self._fleet_manager = fleet_manager
         self._on_user_request = on_user_request
 
-    def on_message(self, _sender: str, body: wire.Body, reply: Reply) -> None:
+    def on_message(self, _sender: str, body: wire.Body, reply: MessageReply, /) -> None:
         """Handle a message; requests are answered by `reply`, at once, later or never."""
         match body:
             case wire.Gossip():
@@ -56,9 +53,7 @@
             case wire.FenceRequest(machines=machines):
                 self._fleet_manager.fence(machines)
             case wire.RelayRequest(heartbeat=heartbeat):
-                self._partition_manager.on_heartbeat(
-                    heartbeat, lambda status, data: reply(wire.RelayReply(status, data)), relayed=True
-                )
+                self._on_relayed(heartbeat, reply)
             case wire.ForwardRequest():
                 self._on_forwarded(body, reply)
             case (
@@ -73,18 +68,26 @@
             case _:
                 reply(wire.Refused("not a request"))
 
-    def _on_forwarded(self, body: wire.ForwardRequest, reply: Reply) -> None:
-        """A user's request taken by a node that the state service does not serve."""
-        request = Request(body.method, body.target, {}, True)
-        request.body = body.body
+    def _on_relayed(self, heartbeat: bytes, reply: MessageReply) -> None:
+        """Handle the heartbeat of a worker that can't reach this node."""
+
+        def answer(status: int, body: bytes = b"{}", _retry_after_s: int | None = None) -> None:
+            reply(wire.RelayReply(status, body))
+
+        self._partition_manager.on_heartbeat(heartbeat, answer, relayed=True)
+
+    def _on_forwarded(self, forwarded: wire.ForwardRequest, reply: MessageReply) -> None:
+        """Handle a user's request that was sent to a node that the state service does not serve."""
+        request = Request(forwarded.method, forwarded.target, {}, True)
+        request.body = forwarded.body
 
-        def answer(status: int, data: bytes = b"{}", retry_after_s: int | None = None) -> None:
-            reply(wire.ForwardReply(status, data, retry_after_s))
+        def answer(status: int, body: bytes = b"{}", retry_after_s: int | None = None) -> None:
+            reply(wire.ForwardReply(status, body, retry_after_s))
 
         self._on_user_request(request, answer)
 
-    def _on_partition_message(self, body: PartitionMessage, reply: Reply) -> None:
-        """A message to the owner of a partition, which this node may be no more."""
+    def _on_partition_message(self, body: PartitionMessage, reply: MessageReply) -> None:
+        """Handle a message to the owner of a partition, which this node may be no more."""
         partition = self._partition_manager.partitions.get(body.zone)
         if partition is None:
             reply(wire.Refused("not the owner"))
@@ -106,7 +109,7 @@
 
 
 def _launch(partition: Partition, request: wire.LaunchRequest) -> wire.LaunchReply:
-    """Launch on reservations. They are numbered per owner: one made under another token is refused."""
+    """Start tasks on reservations. They are numbered per owner: one made under another token is refused."""
     if request.token == partition.token:
         return partition.launch(request)
     return wire.LaunchReply(partition.token, 0, [start.reservation_id for start in request.starts])
--- a/tealhook/partitions/manager.py
+++ b/tealhook/partitions/manager.py
@@ -11,6 +11,7 @@
 
 from tealhook.context import NodeContext
 from tealhook.coordination import Ownership, partition_key
+from tealhook.http import Reply
 from tealhook.jobs.index import JobIndex
 from tealhook.loop.effects import Cancellable, every
 from tealhook.mesh import Mesh
@@ -22,7 +23,6 @@
 
 log = logging.getLogger("tealhook.partitions")
 
-Reply = Callable[[int, bytes], Any]
 NEVER_S = 1e9
 LEAST_TRACKED = 4096  # machines; beyond that those are forgotten of which nothing was noted for long
 TRACKED_LEASES = 4.0
--- a/tealhook/runtime.py
+++ b/tealhook/runtime.py
@@ -17,7 +17,7 @@
 from tealhook.settings import Policy, Settings
 from tealhook.wire.workers import HEARTBEAT_PATH
 
-log = logging.getLogger("tealhook")
+log = logging.getLogger(__name__)
 
 STATE_CONNECTIONS = 12
 CLOUD_CONNECTIONS = 4
@@ -109,15 +109,14 @@
     )
     controller.partition_manager.crowded = lambda: server.crowded
 
-    def reconnect_silent_peers() -> None:
-        """Open a new connection to peers that are silent: after a network cut the old one may hang for minutes."""
-        now = runtime.now()
+    def reconnect_unheard_peers() -> None:
+        """Reconnect to peers not heard lately: after a network cut the old connection may hang for minutes."""
         for peer in settings.peers:
-            if now - controller.mesh.heard.get(peer, -1e9) > lease_s / 4:
+            if controller.mesh.seconds_since_heard(peer) > lease_s / 4:
                 runtime.transport.reset(peer)
-        runtime.loop.later(lease_s / 8, reconnect_silent_peers)
+        runtime.loop.later(lease_s / 8, reconnect_unheard_peers)
 
-    reconnect_silent_peers()
+    reconnect_unheard_peers()
     controller.start()
     log.info(
         "%s serves users and workers at %s, controllers at %s", settings.node, settings.api_addr, settings.mesh_addr
--- a/tealhook/wire/mesh.py
+++ b/tealhook/wire/mesh.py
@@ -311,6 +311,9 @@
 )
 
 
+NO_REPLY = 0  # the `call` of a message that expects no reply
+
+
 class Envelope(msgspec.Struct, array_like=True):
     """`call` > 0: a request; < 0: the reply to request -call; 0: no reply wanted.
 
--- a/tealhook/wire/users.py
+++ b/tealhook/wire/users.py
@@ -12,6 +12,9 @@
 
 from tealhook.wire.common import Resources
 
+SUBMIT_PATH = "/work"
+JOB_PATH_PREFIX = "/work/"  # before the id of the job
+CANCEL_SUFFIX = "/abort"  # after the id of the job
 _JOB_ID = re.compile(r"req-[0-9A-Za-z_.-]{1,64}\Z")
 
 
