--- /dev/null
+++ b/tests/simulation/faults.py
@@ -0,0 +1,199 @@
+"""Fault injection: controllers, services, network, machines and users; and the end of all faults."""
+
+from __future__ import annotations
+
+from collections.abc import Iterable
+from typing import TYPE_CHECKING
+
+from tests import user_requests
+from tests.standins import Worker
+
+if TYPE_CHECKING:
+    from tests.simulated_cluster import SimulatedCluster
+
+
+def machines_up(world: SimulatedCluster) -> list[Worker]:
+    return [worker for worker in world.cloud.machines.values() if worker.up]
+
+
+def set_for_span(world: SimulatedCluster, span: float, thing: object, name: str, value: object, after: object) -> None:
+    """An attribute has one value for a span, then another."""
+    setattr(thing, name, value)
+    world.at(span, lambda: setattr(thing, name, after))
+
+
+def hang(world: SimulatedCluster, worker: Worker, seconds: float) -> None:
+    set_for_span(world, seconds, worker, "hung", True, False)
+
+
+class _Fault:
+    """A fault that lasts for some span, one of `ALL`."""
+
+    def __init__(self, world: SimulatedCluster, span: float) -> None:
+        self.world, self.rng, self.net, self.span = world, world.rng, world.network, span
+
+    # -- controllers
+
+    def crash_one(self) -> None:
+        self.world.crash(self.rng.choice(self.world.names), self.rng.choice([0.2, 3.0, 8.0]))
+
+    def crash_all(self) -> None:
+        for name in self.world.names:
+            self.world.crash(name, self.rng.uniform(0.2, 6.0))
+
+    def suspend_one(self) -> None:
+        """For less than a lease of the state service, or for longer than a lease of a worker."""
+        self.world.suspend(self.rng.choice(self.world.names), self.rng.choice([self.rng.uniform(0.5, 3.0), self.span]))
+
+    # -- services
+
+    def state_down(self) -> None:
+        self.world.state.outage(True)
+        self.world.at(self.span, lambda: self.world.state.outage(False))
+
+    def state_refuses_one(self) -> None:
+        set_for_span(
+            self.world, self.span, self.world.state, "refused_nodes", {self.rng.choice(self.world.names)}, set()
+        )
+
+    def cloud_down(self) -> None:
+        set_for_span(self.world, self.span, self.world.cloud, "down", True, False)
+
+    # -- network
+
+    def cut_from_state(self) -> None:
+        self._cut_one(["state"])
+        self.world.at(self.span, self.net.heal)
+
+    def cut_from_peers(self) -> None:
+        self._cut_one(self.world.names)
+        self.world.at(self.span, self.net.heal)
+
+    def cut_from_workers(self) -> None:
+        self._cut_one([worker.name for worker in machines_up(self.world)])
+        self.world.at(self.span, self.net.heal)
+
+    def cut_from_services_and_peers(self) -> None:
+        """And maybe from the workers of a zone."""
+        node = self._cut_one(["state", "cloud", *self.world.names])
+        if self.rng.random() < 0.5:
+            for worker in machines_up(self.world):
+                if worker.zone == "za":
+                    self.net.cut(node, worker.name)
+        self.world.at(self.span, self.net.heal)
+
+    def _cut_one(self, others: Iterable[str]) -> str:
+        """Cut any one controller from these; its name."""
+        self.net.hold_cut_packets = self.rng.random() < 0.7
+        node = self.rng.choice(self.world.names)
+        for other in others:
+            if other != node:
+                self.net.cut(node, other)
+        return node
+
+    def cut_all_peers(self) -> None:
+        self.net.cut_peers()
+        self.world.at(self.span, self.net.heal)
+
+    def lose_state_requests(self) -> None:
+        set_for_span(self.world, self.span, self.net, "state_loss_share", self.rng.uniform(0.02, 0.15), 0.0)
+
+    def duplicate_heartbeats(self) -> None:
+        set_for_span(self.world, 2 * self.span, self.net, "duplicate_share", 0.3, 0.0)
+
+    # -- machines
+
+    def hang_one(self) -> None:
+        """For less than a lease, or for longer."""
+        if workers := machines_up(self.world):
+            worker = self.rng.choice(workers)
+            hang(self.world, worker, self.rng.choice([self.rng.uniform(1.0, 8.0), self.span]))
+
+    def lose_a_third(self) -> None:
+        """The cloud takes spot machines, others fail."""
+        workers = machines_up(self.world)
+        for worker in self.rng.sample(workers, max(1, len(workers) // 3)) if workers else ():
+            if worker.spot:
+                worker.announce_termination(4.0)
+                self.world.at(self.rng.choice([0.0, 4.0]), lambda worker=worker: self.world.cloud.remove(worker.name))
+            else:
+                worker.fail()
+
+    def make_machine_faulty(self) -> None:
+        if workers := machines_up(self.world):
+            self.rng.choice(workers).faulty = True
+
+    def lose_commands(self) -> None:
+        """For less than a lease, for several, for good."""
+        if workers := machines_up(self.world):
+            name = self.rng.choice(workers).name
+            self.net.command_blackholes.add(name)
+            self.world.at(self.rng.choice([4.0, self.span, 1e9]), lambda: self.net.command_blackholes.discard(name))
+
+    # -- users
+
+    def send_request_bursts(self) -> None:
+        set_for_span(self.world, self.span, self.world, "request_burst_share", 0.8, 0.0)
+
+    def race_completions(self) -> None:
+        self.world.racing_requests = ("cancel", "cancel", "query", "resubmit")
+        set_for_span(self.world, self.span, self.world, "completion_race_share", 0.5, 0.0)
+
+    def cancel_running_jobs(self) -> None:
+        count = self.rng.randint(1, 6)
+        user_requests.cancel_running_jobs(
+            self.world, count, self.rng.choice([0.0, self.rng.uniform(1.0, 8.0), self.span])
+        )
+
+    def send_edge_case_requests(self) -> None:
+        user_requests.send_edge_case_requests(self.world, 20, self.span)
+
+    def submit_stream(self) -> None:
+        user_requests.submit_stream(self.world, min(self.span, 8.0))
+
+    # The order decides what a seed draws.
+    ALL = (
+        crash_one,
+        crash_all,
+        state_down,
+        state_refuses_one,
+        cut_from_state,
+        cut_from_peers,
+        cut_from_workers,
+        cut_from_services_and_peers,
+        lose_state_requests,
+        cloud_down,
+        hang_one,
+        lose_a_third,
+        make_machine_faulty,
+        lose_commands,
+        duplicate_heartbeats,
+        cut_all_peers,
+        suspend_one,
+        send_request_bursts,
+        race_completions,
+        cancel_running_jobs,
+        send_edge_case_requests,
+        submit_stream,
+    )
+
+
+def random_fault(world: SimulatedCluster) -> None:
+    """Start one random fault; it ends some time later."""
+    cause = world.rng.choice(_Fault.ALL)
+    cause(_Fault(world, world.rng.uniform(2.0, 25.0)))
+
+
+def end_faults(world: SimulatedCluster) -> None:
+    """End all faults: from now on the cluster has to recover."""
+    world.faults_ended_at = world.now
+    world.request_burst_share = world.completion_race_share = 0.0
+    world.network.state_loss_share = 0.0
+    world.network.heal()
+    world.network.command_blackholes.clear()
+    world.network.duplicate_share = 0.0
+    world.state.outage(False)
+    world.state.refused_nodes = set()
+    world.cloud.down = False
+    for worker in world.cloud.machines.values():
+        worker.hung = False
--- /dev/null
+++ b/tests/simulation/late_heartbeats.py
@@ -0,0 +1,110 @@
+"""Heartbeats of workers that arrive late, twice, or at the next owner of their partition."""
+
+from __future__ import annotations
+
+import json
+from typing import TYPE_CHECKING
+
+from tests.simulation.requests import make_request
+from tests.versions import owned_partitions
+
+if TYPE_CHECKING:
+    from tests.simulation.network import Network
+
+
+class Heartbeat:
+    """A heartbeat, or a copy of one, that is yet to arrive."""
+
+    __slots__ = ("machine", "zone", "node", "body", "fencing_token", "session", "sequence")
+
+    def __init__(self, node: str, body: bytes) -> None:
+        value = json.loads(body)
+        self.machine, self.zone, self.fencing_token = value["box"], value["yard"], value["baton"]
+        self.session, self.sequence = value["shift"], value["tick"]
+        self.node, self.body = node, body
+
+
+class LateHeartbeats:
+    """Delays and duplicates heartbeats, as often as the shares of the network say."""
+
+    def __init__(self, network: Network) -> None:
+        self.network = network
+        self._next_owner_copies: list[Heartbeat] = []  # copies for the next owner
+        self._held_back: list[Heartbeat] = []  # heartbeats until the next owner has started a task
+
+    def duplicate(self, node: str, body: bytes) -> None:
+        """Copies of a heartbeat that arrive again, later."""
+        world, net = self.network.world, self.network
+        lease_s = world.settings.params.workers.lease_s
+        if world.rng.random() < net.duplicate_share:
+            heartbeat = Heartbeat(node, body)
+            world.at(world.rng.uniform(0.5, 4 * lease_s), lambda: self._arrive_late(heartbeat, node, "copy"))
+        if net.chance(net.late_heartbeat_share):
+            heartbeat = Heartbeat(node, body)
+            for other in sorted({node, world.rng.choice(world.names)}):
+                world.at(
+                    world.rng.uniform(2.0, 3 * lease_s),
+                    lambda other=other: self._arrive_late(heartbeat, other, "late heartbeat"),
+                )
+        if net.chance(net.next_owner_copy_share):
+            self._next_owner_copies.append(Heartbeat(node, body))
+
+    def hold_back(self, node: str, body: bytes) -> None:
+        """Keep a heartbeat itself until the next owner has started a task."""
+        self._held_back.append(Heartbeat(node, body))
+
+    def answered(self, node: str, who: str, data: bytes) -> None:
+        """An owner that starts a task has acted: what was held back since before then arrives there now."""
+        if not self._held_back or b'"launch"' not in data:
+            return
+        world, token = self.network.world, json.loads(data)["baton"]
+        zone = next((m.zone for m in world.cloud.machines.values() if m.name == who), None)
+        due = [heartbeat for heartbeat in self._held_back if heartbeat.zone == zone and heartbeat.fencing_token < token]
+        self._held_back = [heartbeat for heartbeat in self._held_back if heartbeat not in due]
+        for heartbeat in due:
+            world.at(
+                world.rng.uniform(0.0, 2.0),
+                lambda heartbeat=heartbeat: self._arrive_late(heartbeat, node, "heartbeat held back"),
+            )
+
+    def deliver_to_next_owner(self, zone: str) -> None:
+        """Copies that wait for a partition's next owner arrive at every node as it begins."""
+        world = self.network.world
+        due = [heartbeat for heartbeat in self._next_owner_copies if heartbeat.zone == zone]
+        self._next_owner_copies = [heartbeat for heartbeat in self._next_owner_copies if heartbeat.zone != zone]
+        for heartbeat in due:
+            for node in world.names:
+                world.at(
+                    world.rng.uniform(0.0, 0.3),
+                    lambda heartbeat=heartbeat, node=node: self._arrive_late(
+                        heartbeat, node, "copy for the next owner"
+                    ),
+                )
+
+    def _arrive_late(self, heartbeat: Heartbeat, node: str, kind: str) -> None:
+        """Nobody waits for the answer any more."""
+        world, event_counts = self.network.world, self.network.event_counts
+        controller = world.nodes.get(node)
+        if controller is None:
+            return
+        machine = world.cloud.machines.get(heartbeat.machine)
+        event_counts[kind] += 1
+        event_counts[f"{kind}: at its owner"] += heartbeat.zone in owned_partitions(controller)
+        if machine is not None:
+            event_counts[f"{kind}: after newer ones"] += machine.sequence > heartbeat.sequence
+            event_counts[f"{kind}: of an earlier session"] += machine.session > heartbeat.session
+            known = {(task["play"], task["try"]) for task in json.loads(heartbeat.body)["plays"]}
+            names = {task for task, _ in known}
+            moved = any(
+                task in names and (task, attempt) not in known
+                for other in world.cloud.machines.values()
+                for task, attempt in other.tasks
+            )
+            event_counts[f"{kind}: of an earlier attempt"] += moved
+        world.run_when_resumed(
+            node,
+            lambda: controller.on_request(
+                make_request("POST", "/v1/report", heartbeat.body, world.running[node]),
+                lambda _status, _data=b"{}", _retry_after=None: None,
+            ),
+        )
--- /dev/null
+++ b/tests/test_combined_faults_runs.py
@@ -0,0 +1,42 @@
+"""Seeded random runs that combine faults of network, state service, machines, controllers and users."""
+
+import pytest
+
+from tests.fault_coverage import FaultCoverage
+from tests.infrastructure_faults import combined_faults_run
+
+# Each must have occurred in some run; the directed tests assert them one by one.
+REQUIRED_EVENTS = (
+    "cut",
+    "heartbeat lost",
+    "lease expired",
+    "late write after newer ones",
+    "unanswered write read by another",
+    "late heartbeat: after newer ones",
+    "copy for the next owner: at its owner",
+    "slow answer of the state service",
+    "up before the rental's answer",
+)
+COVERAGE = FaultCoverage(REQUIRED_EVENTS, lambda seed: combined_faults_run(seed).network.event_counts)
+
+
+@pytest.mark.parametrize("seed", range(10))
+def test_rules_hold_in_combined_faults(seed):
+    world = combined_faults_run(seed)
+    COVERAGE.record(world.network.event_counts)
+    assert world.network.event_counts["lease expired"] + world.network.event_counts["cut"] > 0
+    assert world.unfinished() == []
+    assert world.task_starts > 0
+
+
+@pytest.mark.parametrize("seed", [10, 11])
+def test_rules_hold_in_combined_faults_with_guarantees(seed):
+    world = combined_faults_run(seed, guarantee=8.0, infrastructure_share=0.8)
+    COVERAGE.record(world.network.event_counts)
+    assert world.unfinished() == []
+    assert world.task_starts > 0
+
+
+def test_every_fault_occurred():
+    """Guards against runs that prove nothing; run alone, or by another process, it makes some runs itself."""
+    COVERAGE.assert_complete(range(12))
--- /dev/null
+++ b/tests/test_combined_faults_users.py
@@ -0,0 +1,136 @@
+"""Requests of users at critical moments: bursts, races with completions, streams, invalid requests."""
+
+from __future__ import annotations
+
+import json
+
+import pytest
+
+from tests import user_requests
+from tests.infrastructure_faults import assert_all_finished
+from tests.simulated_cluster import RuleViolationError, SimulatedCluster
+from tests.test_guards import _answer_from_memory
+from tests.user_requests import UNCONSTRAINED_JOB
+
+SEEDS = range(3)
+
+
+# -- bursts of requests
+
+
+def _request_bursts(seed: int) -> SimulatedCluster:
+    world = SimulatedCluster(seed, limit=48.0)
+    world.request_burst_share = 1.0
+    world.network.max_delay_s = 0.01 if seed % 2 else 0.15
+    world.run(15.0)
+    for i in range(14):
+        world.at(2.0 * i, lambda: world.submit(plays=2, vcpus=1.0, expected_s=3.0, **UNCONSTRAINED_JOB))
+    world.at(3.0, lambda: [world.cancel(job) for job in list(world.jobs)[:1]])
+    world.run(110.0)
+    return world
+
+
+@pytest.mark.parametrize("seed", SEEDS)
+def test_concurrent_requests_never_get_older_answers(seed):
+    world = _request_bursts(seed)
+    assert_all_finished(world)
+    for occasion in ("accepted", "ended", "done", "cancelled", "with a cancellation"):
+        name = "request burst with a cancellation" if occasion.startswith("with") else f"request burst: {occasion}"
+        assert world.event_counts[name] > 0, name
+    assert world.event_counts["request burst: accepted"] == 14
+
+
+def test_answering_from_memory_violates_status_order(monkeypatch):
+    _answer_from_memory(monkeypatch)
+    with pytest.raises(RuleViolationError, match="went_back"):
+        for seed in SEEDS:
+            _request_bursts(seed)
+
+
+# -- the end of a job's last task
+
+
+def _completion_races(seed: int, kind: str) -> SimulatedCluster:
+    world = SimulatedCluster(seed, limit=48.0)
+    world.run(15.0)
+    world.completion_race_share, world.racing_requests = 1.0, (kind,)
+    for i in range(30):
+        world.at(0.7 * i, lambda: world.submit(plays=1 + seed % 2, vcpus=1.0, expected_s=2.0, **UNCONSTRAINED_JOB))
+    world.run(70.0)
+    return world
+
+
+@pytest.mark.parametrize("kind", ["cancel", "query", "resubmit"])
+@pytest.mark.parametrize("seed", SEEDS)
+def test_request_races_completion_of_last_task(seed, kind):
+    world = _completion_races(seed, kind)
+    assert_all_finished(world)
+    assert world.event_counts[f"{kind} at the end"] >= 25
+    finals = [job.final for job in world.jobs.values()]
+    if kind == "cancel":
+        assert "cancelled" in finals and "done" in finals
+    else:
+        assert set(finals) == {"done"}
+    assert world.late_starts == []
+
+
+# -- one-task jobs, four a second
+
+
+@pytest.mark.parametrize("seed", [0, 1])
+def test_stream_of_single_task_jobs_on_small_write_budget(seed):
+    world = SimulatedCluster(seed, wps=30.0, limit=48.0)
+    world.cloud.capacity_per_kind = 4
+    world.run(20.0)
+    ids = user_requests.submit_stream(world, 120.0)
+    world.run(150.0)
+    assert_all_finished(world)
+    assert len(ids) == world.event_counts["job of a stream"] == 480
+    assert 80 < world.event_counts["cancelled job of a stream"] < 160
+    assert set(world.nodes) == set(world.names) and max(world.incarnations.values()) == len(world.names)
+    took = sorted(world.jobs[job].answered_at - world.jobs[job].submitted_at for job in ids)
+    assert took[len(took) * 9 // 10] < 1.0 and took[-1] < 10.0
+    assert max(world.jobs[job].longest_unanswered_s for job in ids) < 20.0
+
+
+# -- invalid and other unusual requests
+
+
+def test_edge_case_requests_are_answered_as_specified():
+    world = SimulatedCluster(6, limit=48.0)
+    world.run(15.0)
+    for i in range(8):
+        world.at(2.0 * i, lambda: world.submit(plays=2, vcpus=1.0, expected_s=6.0, **UNCONSTRAINED_JOB))
+    world.at(5.0, lambda: user_requests.send_edge_case_requests(world, 150, 40.0))
+    world.run(80.0)
+    assert_all_finished(world)
+    for name in (
+        "refused as 400",
+        "refused as 422",
+        "unknown id",
+        "repeat of an unfinished job",
+        "cancellation of a done job",
+    ):
+        assert world.event_counts[name] >= 10, name
+    assert {job.final for job in world.jobs.values()} == {"done"}
+
+
+NULLABLE = {"rigs", "yard", "due_s"}
+
+
+@pytest.mark.parametrize("field", sorted(SimulatedCluster(0).spec("req-000000").keys() - NULLABLE))
+@pytest.mark.parametrize("null", [False, True], ids=["absent", "null"])
+def test_submission_with_missing_field_is_rejected(field, null):
+    """By the protocol only a field that may be null may be omitted."""
+    world = SimulatedCluster(7, nodes=1)
+    world.run(10.0)
+    spec = world.spec("req-lacking")
+    assert field in spec
+    if null:
+        spec[field] = None
+    else:
+        del spec[field]
+    statuses = []
+    world.send_request("POST", "/work", json.dumps(spec).encode(), lambda status, data, asked: statuses.append(status))
+    world.run(5.0)
+    assert statuses == [400]
