--- a/tealhook/partitions/capacity.py
+++ b/tealhook/partitions/capacity.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from tealhook.partitions.launched_jobs import LaunchedJobs
-from tealhook.partitions.machine import EPSILON, NEVER_S, ExpectedEnd, Machine, TaskFit, count_fitting
+from tealhook.partitions.machine import FAR_FUTURE_S, RESOURCE_TOLERANCE, ExpectedEnd, Machine, TaskFit, count_fitting
 from tealhook.partitions.state import PartitionState
 from tealhook.wire.common import NO_RESOURCES, Resources
 from tealhook.wire.workers import TaskStatus
@@ -28,7 +28,7 @@
         # In plain variables: a value for each step would cost more than all the rest.
         vcpus, gpus, memory_gb = machine_type.resources
         for task in machine.tasks.values():
-            if task.status == TaskStatus.EXITED or task.yields_to:
+            if task.status == TaskStatus.EXITED or task.preempting_reservation_id:
                 continue
             if task.resources is None:
                 task.resources = self._launched_jobs.resources_of(task.job)
@@ -61,17 +61,17 @@
         for at, freed in self._expected_ends(machine):
             vcpus, gpus, memory_gb = vcpus + freed[0], gpus + freed[1], memory_gb + freed[2]
             if (
-                least_vcpus <= vcpus + EPSILON
-                and least_gpus <= gpus + EPSILON
-                and least_memory_gb <= memory_gb + EPSILON
+                least_vcpus <= vcpus + RESOURCE_TOLERANCE
+                and least_gpus <= gpus + RESOURCE_TOLERANCE
+                and least_memory_gb <= memory_gb + RESOURCE_TOLERANCE
             ):
                 return at
-        return NEVER_S
+        return FAR_FUTURE_S
 
     def empty_in(self, machine: Machine, now: float) -> float:
         """Estimated seconds until what is on a machine has ended."""
         ends = self._expected_ends(machine)
-        left_s = max(0.0, ends[-1].at - now) if ends else 0.0
+        left_s = max(0.0, ends[-1].ends_at - now) if ends else 0.0
         for reservation in machine.reservations.values():
             entry = self._job_index.active.get(reservation.job)
             left_s = max(left_s, entry.spec.estimated_run_s if entry is not None else 0.0)
@@ -83,8 +83,8 @@
             machine.expected_ends = []
             for task in machine.tasks.values():
                 entry = self._job_index.active.get(task.job)
-                if task.alive and entry is not None and not task.yields_to:
-                    began_at = task.running_since or task.since
+                if task.is_alive and entry is not None and not task.preempting_reservation_id:
+                    began_at = task.running_since or task.first_reported_at
                     machine.expected_ends.append(
                         ExpectedEnd(began_at + entry.spec.estimated_run_s, entry.spec.resources)
                     )
--- a/tealhook/partitions/capacity_holds.py
+++ b/tealhook/partitions/capacity_holds.py
@@ -21,25 +21,25 @@
     @staticmethod
     def blocks(machine: Machine, request: mesh.ReservationRequest, now: float) -> bool:
         """Whether a machine is held for a starving task of another job."""
-        hold = machine.held_for
-        if hold is None or hold.until < now:
-            machine.held_for = None
+        hold = machine.capacity_hold
+        if hold is None or hold.expires_at < now:
+            machine.capacity_hold = None
             return False
         return hold.job != request.job and not request.starving
 
     def hold(self, job: str, required: Resources, candidates: list[Machine], now: float) -> None:
         """Hold the machine that will be free for a starving task first, or renew the hold that its job has."""
         for machine in candidates:
-            if machine.held_for is not None and machine.held_for.job == job:
-                machine.held_for = CapacityHold(job, now + self._hold_s)
+            if machine.capacity_hold is not None and machine.capacity_hold.job == job:
+                machine.capacity_hold = CapacityHold(job, now + self._hold_s)
                 return
-        not_held = [machine for machine in candidates if machine.held_for is None]
+        not_held = [machine for machine in candidates if machine.capacity_hold is None]
         if not_held:
             first = min(not_held, key=lambda m: (max(now, self._capacity.free_at(m, required)), m.name))
-            first.held_for = CapacityHold(job, now + self._hold_s)
+            first.capacity_hold = CapacityHold(job, now + self._hold_s)
 
     @staticmethod
     def release(machine: Machine, job: str) -> None:
         """End the hold of a job on a machine: it has been given resources there."""
-        if machine.held_for is not None and machine.held_for.job == job:
-            machine.held_for = None
+        if machine.capacity_hold is not None and machine.capacity_hold.job == job:
+            machine.capacity_hold = None
--- a/tealhook/partitions/commands.py
+++ b/tealhook/partitions/commands.py
@@ -5,7 +5,7 @@
 from tealhook.jobs.job_records import JobState
 from tealhook.partitions.interfaces import HeartbeatResponder
 from tealhook.partitions.launched_jobs import LaunchedJobs
-from tealhook.partitions.machine import AttemptKey, Machine, MachineTask, ReservationState, fits, subtract
+from tealhook.partitions.machine import AttemptKey, Machine, MachineTask, ReservationState, fits, subtract_resources
 from tealhook.partitions.reservations import Reservations
 from tealhook.partitions.state import PartitionState
 from tealhook.partitions.status_updates import StatusUpdates
@@ -19,7 +19,7 @@
 MAX_COMMANDS = 300  # keeps a response far below the line limit
 
 
-class Commands:
+class WorkerCommands:
     """Commands to the workers of one partition.
 
     Starts ride on responses to heartbeats alone: one sent directly could be executed minutes late. Stops go both ways,
@@ -45,20 +45,20 @@
         self._status_updates = status_updates
         self._responder = responder
 
-    def commands_for(self, machine: Machine) -> list[wire.Command]:
+    def collect_commands(self, machine: Machine) -> list[wire.Command]:
         """The commands in response to a machine's heartbeat: stops, forgets, and starts of what fits."""
         commands: list[wire.Command] = []
         status = self._job_index.status
         for key, task in machine.tasks.items():
-            if task.alive:
+            if task.is_alive:
                 if status(task.job) in ENDED_STATES:
                     machine.pending_stops.setdefault(key, 0.0)
                 if key in machine.pending_stops:
                     commands.append(
-                        wire.Command(wire.CommandAction.STOP, task.task, task.attempt, machine.pending_stops[key])
+                        wire.Command(wire.CommandAction.STOP, task.task_id, task.attempt, machine.pending_stops[key])
                     )
             elif key in machine.pending_forgets or status(task.job) in ENDED_STATES:
-                commands.append(wire.Command(wire.CommandAction.FORGET, task.task, task.attempt))
+                commands.append(wire.Command(wire.CommandAction.FORGET, task.task_id, task.attempt))
         machine_type = self._machine_types.get(machine.machine_type)
         if machine_type is not None and not self._responder.may_not_launch():
             self._add_starts(machine, machine_type, commands)
@@ -68,9 +68,9 @@
         """Start what fits beside the tasks that are still on the machine, whatever was reserved."""
         free: Resources | None = None
         for reservation in machine.list_reservations():
-            if not reservation.launching or len(commands) >= MAX_COMMANDS:
+            if not reservation.is_assigned or len(commands) >= MAX_COMMANDS:
                 continue
-            if reservation.revoked or self._job_index.status(reservation.job) in ENDED_STATES:
+            if reservation.is_revoked or self._job_index.status(reservation.job) in ENDED_STATES:
                 reservation.state = ReservationState.REVOKED
                 if not reservation.send_count:
                     self._reservations.drop(machine, reservation)
@@ -78,19 +78,19 @@
             if free is None:
                 free = self._free_beside_tasks(machine, machine_type)
             if fits(free, reservation.resources):
-                free = subtract(free, reservation.resources)
+                free = subtract_resources(free, reservation.resources)
                 reservation.send_count += 1
-                commands.append(wire.Command(wire.CommandAction.START, reservation.task, reservation.attempt))
+                commands.append(wire.Command(wire.CommandAction.START, reservation.task_id, reservation.attempt))
 
     def _free_beside_tasks(self, machine: Machine, machine_type: MachineType) -> Resources:
         """What is free besides the tasks on a machine that won't exit at once when they are stopped."""
         free = machine_type.resources
         for key, task in machine.tasks.items():
-            if task.alive and not (
+            if task.is_alive and not (
                 key in machine.pending_stops and self._exits_at_once(task, machine.pending_stops[key])
             ):
                 # A task that nobody here knows may take all of it.
-                free = subtract(free, self._launched_jobs.resources_of(task.job) or machine_type.resources)
+                free = subtract_resources(free, self._launched_jobs.resources_of(task.job) or machine_type.resources)
         return free
 
     def _exits_at_once(self, task: MachineTask, grace_period_s: float) -> bool:
@@ -112,9 +112,9 @@
         if self._responder.answer_now(machine.name):
             return  # they ride on the response to a heartbeat
         commands = [
-            wire.Command(wire.CommandAction.STOP, key.task, key.attempt, grace_period_s)
+            wire.Command(wire.CommandAction.STOP, key.task_id, key.attempt, grace_period_s)
             for key, grace_period_s in machine.pending_stops.items()
-            if key in machine.tasks and machine.tasks[key].alive
+            if key in machine.tasks and machine.tasks[key].is_alive
         ]
         if commands:
             body = encode_json(wire.CommandBatch(self._token, commands[:MAX_COMMANDS], machine.session))
@@ -133,18 +133,18 @@
                 machine is None
                 or reservation is None
                 or not is_current
-                or reservation.launching
+                or reservation.is_assigned
                 or reservation.job != start.job
-                or machine.terminating
+                or machine.is_terminating
                 or self._job_index.status(start.job) in ENDED_STATES
             ):
-                if machine is not None and reservation is not None and not reservation.launching:
+                if machine is not None and reservation is not None and not reservation.is_assigned:
                     self._reservations.drop(machine, reservation)
                 refused.append(start.reservation_id)
                 continue
             reservation.index, reservation.attempt = start.index, start.attempt
             reservation.state = ReservationState.LAUNCHING
-            machine.changed = True
+            machine.has_unpublished_changes = True
             launching[machine.name] = None
             self._launched_jobs.remember(reservation.job, reservation.team, reservation.resources)
             for victim in reservation.victims:
@@ -175,7 +175,7 @@
                 if key in machine.tasks:
                     machine.pending_forgets.add(key)
             elif key in machine.tasks:
-                if key not in machine.pending_stops and machine.tasks[key].alive:
+                if key not in machine.pending_stops and machine.tasks[key].is_alive:
                     stopping[stop.machine] = machine
                 grace_period_s = machine.pending_stops.get(key, stop.grace_period_s)
                 machine.pending_stops[key] = min(stop.grace_period_s, grace_period_s)
@@ -187,7 +187,7 @@
     def _revoke(self, machine: Machine, key: AttemptKey) -> None:
         """Start an attempt no more; one whose start may be out stays until a heartbeat shows what came of it."""
         for reservation in machine.list_reservations():
-            if reservation.launching and reservation.key == key:
+            if reservation.is_assigned and reservation.key == key:
                 reservation.state = ReservationState.REVOKED
                 if not reservation.send_count:
                     self._reservations.drop(machine, reservation)
--- a/tealhook/partitions/grants.py
+++ b/tealhook/partitions/grants.py
@@ -13,7 +13,7 @@
 from tealhook.partitions.capacity_holds import CapacityHolds
 from tealhook.partitions.fetch_rates import FetchRates
 from tealhook.partitions.inquiries import allows_machine
-from tealhook.partitions.machine import Machine, MachineTask, count_fitting, subtract
+from tealhook.partitions.machine import Machine, MachineTask, count_fitting, subtract_resources
 from tealhook.partitions.packing import PackingOrder
 from tealhook.partitions.pending_grant import PendingGrant
 from tealhook.partitions.preemption import Preemption, PreemptionScope
@@ -96,7 +96,7 @@
         for machine, count in chosen:
             for _ in range(count):
                 self._add_grant(pending, machine, [])
-            pending.packing.set_free(machine, subtract(free(machine), required, count))
+            pending.packing.set_free(machine, subtract_resources(free(machine), required, count))
 
     def _add_grant(self, pending: PendingGrant, machine: Machine, victims: list[MachineTask]) -> None:
         request = pending.request
@@ -131,7 +131,7 @@
                 heapq.heappush(queue, _QueuedOffer(offer.lost_cpu_s, queued.position, machine))
                 continue
             self._preemption.charge(pending.request, offer.victims)
-            pending.packing.set_free(machine, subtract(offer.free, pending.required))
+            pending.packing.set_free(machine, subtract_resources(offer.free, pending.required))
             self._add_grant(pending, machine, offer.victims)
             heapq.heappush(queue, queued)
 
@@ -145,7 +145,7 @@
                 offer = self._preemption.offer(machine, pending, PreemptionScope.CHECKPOINTING)
                 if offer is None:
                     break
-                pending.packing.set_free(machine, subtract(offer.free, pending.required))
+                pending.packing.set_free(machine, subtract_resources(offer.free, pending.required))
                 self._add_grant(pending, machine, offer.victims)
             if pending.missing <= 0:
                 return
--- a/tealhook/partitions/heartbeats.py
+++ b/tealhook/partitions/heartbeats.py
@@ -12,12 +12,12 @@
 from tealhook.partitions.reservations import Reservations
 from tealhook.partitions.state import PartitionState
 from tealhook.partitions.status_updates import StatusUpdates
-from tealhook.partitions.termination import evict
+from tealhook.partitions.termination import evict_tasks
 from tealhook.wire import workers as wire
 
 log = logging.getLogger(__name__)
 
-CLOCK_DRIFT = 1.001  # two steady clocks, each at most 0.05% off
+MAX_CLOCK_DRIFT_RATIO = 1.001  # two steady clocks, each at most 0.05% off
 MAX_START_SENDS = 3  # a start sent so often without effect is given up
 
 
@@ -53,24 +53,24 @@
         if (heartbeat.session, heartbeat.sequence) <= (machine.session, machine.sequence):
             return False  # held up on its way, or a copy
         if heartbeat.session > machine.session:
-            if now - machine.answered_at < self._workers.lease_s / 2:
+            if now - machine.last_answered_at < self._workers.lease_s / 2:
                 # It had been answered when its lease ran out: the answers did not arrive.
-                self._health.note_commands_lost(machine, now)
+                self._health.mark_commands_lost(machine, now)
             self._begin_session(machine, heartbeat.session, now)
-        elif now - machine.session_started_at > CLOCK_DRIFT * self._workers.lease_s + wire.ANSWER_TIMEOUT_S:
+        elif now - machine.session_started_at > MAX_CLOCK_DRIFT_RATIO * self._workers.lease_s + wire.ANSWER_TIMEOUT_S:
             machine.commands_lost_since = None  # the session has outlived a lease: something of ours arrived
         machine.sequence = heartbeat.sequence
-        machine.heard_at = now
+        machine.last_heartbeat_at = now
         machine.address = heartbeat.address
-        machine.terminating = heartbeat.termination_notice_s is not None
+        machine.is_terminating = heartbeat.termination_notice_s is not None
         machine.acknowledges_token = heartbeat.fencing_token == self._token
         if machine.acknowledges_token:
             # Only a worker that has seen our token obeys nobody before us any more: what such a heartbeat
             # lacks is provably not there.
-            machine.reconciled = True
+            machine.is_reconciled = True
             self._take_tasks(machine, heartbeat.tasks or [], now)
             if heartbeat.termination_notice_s is not None:
-                evict(machine, self._job_index, self._reservations, heartbeat.termination_notice_s, now)
+                evict_tasks(machine, self._job_index, self._reservations, heartbeat.termination_notice_s, now)
         self._status_updates.publish(machine, now)
         return True
 
@@ -78,7 +78,7 @@
         """The worker's lease ran out: every task of the earlier session is stopped and forgotten."""
         machine.session = session
         machine.session_started_at = now
-        machine.answered_at = LONG_AGO_S
+        machine.last_answered_at = LONG_AGO_S
         machine.sequence = -1
         machine.tasks.clear()
         self._reservations.drop_all(machine)
@@ -103,11 +103,11 @@
             task.status, task.cause = report.status, report.cause
             tasks[task.key] = task
         machine.tasks = tasks
-        machine.has_exits = any(not task.alive for task in tasks.values())
+        machine.has_unsettled_exits = any(not task.is_alive for task in tasks.values())
         if changed:
             self._state.mark_changed(machine)
         self._settle_reservations(machine)
-        for ended in [key for key in machine.pending_stops if key not in tasks or not tasks[key].alive]:
+        for ended in [key for key in machine.pending_stops if key not in tasks or not tasks[key].is_alive]:
             del machine.pending_stops[ended]
         machine.pending_forgets.intersection_update(tasks)
 
@@ -118,9 +118,9 @@
         if report.status == wire.TaskStatus.EXITED:
             self._log_exit(machine, task, report, now)
             if report.cause == wire.ExitCause.DONE:
-                self._health.note_success(machine, task.job)
+                self._health.record_success(machine, task.job)
             elif report.cause == wire.ExitCause.ERROR:
-                self._health.note_error(machine, task.job)
+                self._health.record_error(machine, task.job)
 
     def _note_image(self, machine: Machine, task: MachineTask, now: float) -> None:
         """A task has begun to run: the machine has its image, and a fetch that went before is measured."""
@@ -132,7 +132,7 @@
             return
         machine_type = self._state.machine_types.get(machine.machine_type)
         if task.status == wire.TaskStatus.FETCHING and spec.image_gb > 0 and spec.image not in machine.images:
-            self._fetch_rates.learn(machine_type, spec.image_gb, now - task.since)
+            self._fetch_rates.learn(machine_type, spec.image_gb, now - task.first_reported_at)
         machine.add_image(spec.image, spec.image_gb, machine_type.disk_gb if machine_type else 0.0)
 
     @staticmethod
@@ -143,15 +143,15 @@
                 report.task,
                 report.cause,
                 machine.name,
-                task.since - task.reserved_at,
-                task.running_since - task.since,
+                task.first_reported_at - task.reserved_at,
+                task.running_since - task.first_reported_at,
                 now - task.running_since,
             )
 
     def _settle_reservations(self, machine: Machine) -> None:
         """Reservations whose tasks the machine reports are settled; those whose starts were lost are dropped."""
         for reservation in machine.list_reservations():
-            if not reservation.launching:
+            if not reservation.is_assigned:
                 continue
             task = machine.tasks.get(reservation.key)
             if task is not None:
@@ -160,8 +160,8 @@
                 task.reserved_at = reservation.reserved_at
                 task.non_preemptible = reservation.non_preemptible
                 self._reservations.settle(machine, reservation)
-            elif reservation.send_count and (reservation.revoked or reservation.send_count >= MAX_START_SENDS):
+            elif reservation.send_count and (reservation.is_revoked or reservation.send_count >= MAX_START_SENDS):
                 # A newer heartbeat without it: the response that carried it was dropped for good.
                 self._reservations.drop(machine, reservation)
-                if not reservation.revoked:
-                    self._health.note_commands_lost(machine, self._effects.now())
+                if not reservation.is_revoked:
+                    self._health.mark_commands_lost(machine, self._effects.now())
--- a/tealhook/partitions/inquiries.py
+++ b/tealhook/partitions/inquiries.py
@@ -9,7 +9,7 @@
 
 from tealhook.partitions.capacity import MachineCapacity
 from tealhook.partitions.fetch_rates import DEFAULT_GB_PER_S, FetchRates
-from tealhook.partitions.machine import NEVER_S, Machine, required_resources
+from tealhook.partitions.machine import FAR_FUTURE_S, Machine, required_resources
 from tealhook.partitions.reservations import Reservations
 from tealhook.partitions.state import PartitionState
 from tealhook.wire import mesh
@@ -95,7 +95,7 @@
         required = required_resources(requirements)
         fitting: list[tuple[Machine, int]] = []
         machine_types: set[str] = set()
-        next_at = NEVER_S
+        next_at = FAR_FUTURE_S
         for machine in self._machines:
             if not allows_machine(requirements, machine):
                 continue
@@ -106,5 +106,5 @@
             else:
                 next_at = min(next_at, free_at)
         # What frees is known here with the machine's next heartbeat, half a period later on the average.
-        next_free_s = max(0.0, next_at - now) + self._workers.report_s / 2 if next_at < NEVER_S else NEVER_S
+        next_free_s = max(0.0, next_at - now) + self._workers.report_s / 2 if next_at < FAR_FUTURE_S else FAR_FUTURE_S
         return _PartitionFit(fitting, next_free_s, max(map(self._fetch_rates.rate, machine_types), default=0.0))
--- a/tealhook/partitions/machine.py
+++ b/tealhook/partitions/machine.py
@@ -12,8 +12,8 @@
 from tealhook.wire import workers as wire
 from tealhook.wire.common import Resources
 
-EPSILON = 1e-6  # sums of requested resources are compared with this much slack
-NEVER_S = 1e9  # as a duration, and on the monotonic clock: not as far as known; finite, since it is sent
+RESOURCE_TOLERANCE = 1e-6  # sums of requested resources are compared with this much slack
+FAR_FUTURE_S = 1e9  # as a duration, and on the monotonic clock: not as far as known; finite, since it is sent
 
 # How many tasks of some resources fit on a machine now; if none does, from when one should. A plain tuple: there is one
 # for each machine and kind of waiting task, and the garbage collector would visit typed ones again and again.
@@ -23,7 +23,7 @@
 class AttemptKey(NamedTuple):
     """One attempt to run a task: the task as the worker calls it, and the number of the attempt."""
 
-    task: str
+    task_id: str
     attempt: int
 
 
@@ -31,15 +31,15 @@
 class MachineTask:
     """A task on the machine, by its latest heartbeat."""
 
-    task: str
+    task_id: str
     job: str
     index: int
     attempt: int
     status: str
     cause: str | None
-    since: float
+    first_reported_at: float
     running_since: float = 0.0  # when it was first seen running; 0: not yet
-    yields_to: int = 0  # reservation that takes its resources
+    preempting_reservation_id: int = 0  # reservation that takes its resources
     reserved_at: float = 0.0  # when its resources were reserved here; 0: by an earlier owner
     non_preemptible: bool = False  # the first task of a job that waited long: not preempted
     resources: Resources | None = None  # what it takes; None: nobody here knows its job yet
@@ -47,10 +47,10 @@
 
     def __post_init__(self) -> None:
         """Its key is made once: each heartbeat looks it up."""
-        self.key = AttemptKey(self.task, self.attempt)
+        self.key = AttemptKey(self.task_id, self.attempt)
 
     @property
-    def alive(self) -> bool:
+    def is_alive(self) -> bool:
         """Whether it still takes resources of the machine."""
         return self.status != wire.TaskStatus.EXITED
 
@@ -82,31 +82,31 @@
     non_preemptible: bool = False
 
     @property
-    def launching(self) -> bool:
+    def is_assigned(self) -> bool:
         """Whether its task's assignment is durable, be it revoked since or not: it does not expire any more."""
         return self.state is not ReservationState.RESERVED
 
     @property
-    def revoked(self) -> bool:
+    def is_revoked(self) -> bool:
         """Whether its task must not start any more."""
         return self.state is ReservationState.REVOKED
 
     @property
-    def task(self) -> str:
+    def task_id(self) -> str:
         """The task as the worker calls it, once it is launched."""
         return f"{self.job}/{self.index}"
 
     @property
     def key(self) -> AttemptKey:
         """The attempt that it is for, once it is launched."""
-        return AttemptKey(self.task, self.attempt)
+        return AttemptKey(self.task_id, self.attempt)
 
 
 class PublishedStatus(NamedTuple):
     """The newest status update that a team's scheduler was sent of a machine."""
 
     content: tuple[int, tuple[tuple[str, int, int, str], ...]]  # session, and job, index, attempt, status of each task
-    at: float
+    published_at: float
     sequence: int
 
 
@@ -114,13 +114,13 @@
     """A starving job for which a machine's resources are held, and until when."""
 
     job: str
-    until: float
+    expires_at: float
 
 
 class ExpectedEnd(NamedTuple):
     """When a task should end, and what it frees then."""
 
-    at: float
+    ends_at: float
     resources: Resources
 
 
@@ -135,27 +135,27 @@
         self.address = heartbeat.address
         self.session = heartbeat.session
         self.sequence = -1
-        self.heard_at = now
+        self.last_heartbeat_at = now
         self.acknowledges_token = False  # its newest heartbeat was made under our token
         self.session_started_at = now  # when its present session was first heard of
-        self.answered_at = LONG_AGO_S  # when a heartbeat of its present session was last answered
+        self.last_answered_at = LONG_AGO_S  # when a heartbeat of its present session was last answered
         self.commands_lost_since: float | None = None  # its heartbeats arrive, but commands don't reach it
-        self.probed_at = LONG_AGO_S
-        self.reconciled = False  # a heartbeat under our token has shown what is on it
-        self.terminating = False  # the cloud has given notice that it takes the machine
-        self.drained = False  # the fleet manager wants it empty
-        self.unhealthy = False  # tasks of several jobs failed on it
+        self.last_probed_at = LONG_AGO_S
+        self.is_reconciled = False  # a heartbeat under our token has shown what is on it
+        self.is_terminating = False  # the cloud has given notice that it takes the machine
+        self.is_draining = False  # the fleet manager wants it empty
+        self.is_unhealthy = False  # tasks of several jobs failed on it
         self.tasks: dict[AttemptKey, MachineTask] = {}
         self.reservations: dict[int, Reservation] = {}
         self.pending_stops: dict[AttemptKey, float] = {}  # attempts to be stopped, and their grace periods
         self.pending_forgets: set[AttemptKey] = set()
         self.images: OrderedDict[str, float] = OrderedDict()  # in the order of last use: image -> GB
         self.failed_jobs: set[str] = set()
-        self.published: dict[str, PublishedStatus] = {}  # team -> what its scheduler was last sent
-        self.published_at = LONG_AGO_S  # when status updates were last considered
-        self.held_for: CapacityHold | None = None
-        self.has_exits = False  # some task's end is not settled yet
-        self.changed = True  # something changed since status updates were last considered
+        self.published_statuses: dict[str, PublishedStatus] = {}  # team -> what its scheduler was last sent
+        self.last_published_at = LONG_AGO_S  # when status updates were last considered
+        self.capacity_hold: CapacityHold | None = None
+        self.has_unsettled_exits = False  # some task's end is not settled yet
+        self.has_unpublished_changes = True  # something changed since status updates were last considered
         # The rest is computed when it is needed, and kept until something changes.
         self.free_resources: Resources | None = None
         self.expected_ends: list[ExpectedEnd] | None = None
@@ -164,14 +164,16 @@
 
     def mark_changed(self) -> None:
         """Forget what was computed of the machine: something on it changed."""
-        self.changed = True
+        self.has_unpublished_changes = True
         self.free_resources = self.expected_ends = self.checkpointing_tasks = None
         self.fit_cache.clear()
 
     def accepts_tasks(self, now: float, max_silence_s: float) -> bool:
         """Whether a task given now would start within a heartbeat period, as far as can be known."""
-        is_cordoned = self.terminating or self.drained or self.unhealthy or self.commands_lost_since is not None
-        return self.reconciled and not is_cordoned and now - self.heard_at <= max_silence_s
+        is_cordoned = (
+            self.is_terminating or self.is_draining or self.is_unhealthy or self.commands_lost_since is not None
+        )
+        return self.is_reconciled and not is_cordoned and now - self.last_heartbeat_at <= max_silence_s
 
     def list_reservations(self) -> list[Reservation]:
         """Its reservations as they are now, so that some can be dropped on the way."""
@@ -199,7 +201,9 @@
 def fits(free: Resources, required: Resources) -> bool:
     """Whether a task of `required` fits into `free`."""
     return (
-        required[0] <= free[0] + EPSILON and required[1] <= free[1] + EPSILON and required[2] <= free[2] + EPSILON
+        required[0] <= free[0] + RESOURCE_TOLERANCE
+        and required[1] <= free[1] + RESOURCE_TOLERANCE
+        and required[2] <= free[2] + RESOURCE_TOLERANCE
     )  # by position: called for every machine and task, and attributes cost twice as much
 
 
@@ -207,15 +211,15 @@
     """How many tasks of `required` fit into `free`."""
     if not fits(free, required):
         return 0
-    return min(int((have + EPSILON) / need) for have, need in zip(free, required) if need > 0)
+    return min(int((have + RESOURCE_TOLERANCE) / need) for have, need in zip(free, required) if need > 0)
 
 
-def add(free: Resources, freed: Resources) -> Resources:
+def add_resources(free: Resources, freed: Resources) -> Resources:
     """What is free once `freed` is given back."""
     return Resources(free[0] + freed[0], free[1] + freed[1], free[2] + freed[2])
 
 
-def subtract(free: Resources, required: Resources, count: int = 1) -> Resources:
+def subtract_resources(free: Resources, required: Resources, count: int = 1) -> Resources:
     """What is left of `free` when so many tasks of `required` are placed there."""
     return Resources(
         free[0] - count * required[0],
--- a/tealhook/partitions/machine_health.py
+++ b/tealhook/partitions/machine_health.py
@@ -24,7 +24,7 @@
         self._lease_s = state.context.workers.lease_s
         self._failed_on: dict[str, set[str]] = {}  # job -> machines on which a task of it has failed
 
-    def note_commands_lost(self, machine: Machine, now: float) -> None:
+    def mark_commands_lost(self, machine: Machine, now: float) -> None:
         """Commands don't reach a machine, though its heartbeats arrive: it gets nothing more until they do.
 
         It would swallow every start, again and again: its heartbeats prove each time that the task is not there.
@@ -34,12 +34,12 @@
             machine.commands_lost_since = now
             self._state.mark_changed(machine)
 
-    def note_success(self, machine: Machine, job: str) -> None:
+    def record_success(self, machine: Machine, job: str) -> None:
         """A task of a job is done on a machine."""
         machine.failed_jobs.clear()
         self._failed_on.pop(job, None)
 
-    def note_error(self, machine: Machine, job: str) -> None:
+    def record_error(self, machine: Machine, job: str) -> None:
         """Two jobs in a row that fail here make the machine suspect; one job that fails everywhere does not."""
         failed_on = self._failed_on.setdefault(job, set())
         failed_on.add(machine.name)
@@ -51,13 +51,13 @@
                     self._state.machines[name].failed_jobs.discard(job)
             return
         machine.failed_jobs.add(job)
-        if len(machine.failed_jobs) >= UNHEALTHY_JOBS and not machine.unhealthy:
+        if len(machine.failed_jobs) >= UNHEALTHY_JOBS and not machine.is_unhealthy:
             log.info("tasks of several jobs fail on %s: unhealthy, it is given nothing more", machine.name)
-            machine.unhealthy = True
+            machine.is_unhealthy = True
 
     def needs_replacement(self, machine: Machine, now: float) -> bool:
         """Whether a machine should be replaced by another."""
-        return machine.unhealthy or (
+        return machine.is_unhealthy or (
             machine.commands_lost_since is not None
             and now - machine.commands_lost_since > COMMANDS_LOST_LEASES * self._lease_s
         )
--- a/tealhook/partitions/manager.py
+++ b/tealhook/partitions/manager.py
@@ -10,7 +10,7 @@
 from tealhook.jobs.index import JobIndex
 from tealhook.loop.effects import Cancellable, every
 from tealhook.mesh import Mesh
-from tealhook.partitions.heartbeats import CLOCK_DRIFT
+from tealhook.partitions.heartbeats import MAX_CLOCK_DRIFT_RATIO
 from tealhook.partitions.interfaces import ConnectionLoad, PartitionObserver, UnlimitedConnections
 from tealhook.partitions.partition import Partition
 from tealhook.partitions.redirects import Redirects
@@ -62,7 +62,7 @@
         # Once our view of cancellations is older than this, a task that was cancelled meanwhile must be
         # left to die by its worker's lease: the lease ends at most lease_s after the last heartbeat that we
         # answered was sent.
-        self._max_view_age_s = workers.cancel_s - CLOCK_DRIFT * workers.lease_s - workers.report_s / 4
+        self._max_view_age_s = workers.cancel_s - MAX_CLOCK_DRIFT_RATIO * workers.lease_s - workers.report_s / 4
         every(context.effects, workers.lease_s / 8, self._probe)
 
     def _probe(self) -> None:
@@ -118,12 +118,12 @@
         self._redirects.forget(heartbeat.machine)
         partition = self.partitions[heartbeat.zone]
         if not partition.on_heartbeat(heartbeat):
-            reply(200, partition.responses.body_for(None))
+            reply(200, partition.responses.build_body(None))
             return
         # With all workers of a large fleet on one node, heartbeats held open would leave no connection to users.
         hold_s = 0.0 if relayed or self.connections.crowded else partition.responses.hold_open_s(heartbeat.machine)
         if hold_s <= 0:
-            reply(200, partition.responses.body_for(heartbeat.machine))
+            reply(200, partition.responses.build_body(heartbeat.machine))
             return
         timer = self._effects.later(hold_s, lambda: self.answer_now(heartbeat.machine))
         self._open_heartbeats[heartbeat.machine] = _OpenHeartbeat(heartbeat, body, reply, timer)
@@ -143,7 +143,7 @@
             return False
         waiting.timer.cancel()
         if self._may_answer(waiting.heartbeat, waiting.body, waiting.reply, relayed=False):
-            waiting.reply(200, self.partitions[waiting.heartbeat.zone].responses.body_for(machine))
+            waiting.reply(200, self.partitions[waiting.heartbeat.zone].responses.build_body(machine))
         return True
 
     def _may_answer(self, heartbeat: wire.Heartbeat, body: bytes, reply: Reply, *, relayed: bool) -> bool:
--- a/tealhook/partitions/packing.py
+++ b/tealhook/partitions/packing.py
@@ -32,7 +32,7 @@
         return (
             not machine.spot,
             self._free[machine.name][0],
-            machine.heard_at,
+            machine.last_heartbeat_at,
             self._position[machine.name],
         )
 
--- a/tealhook/partitions/partition.py
+++ b/tealhook/partitions/partition.py
@@ -6,7 +6,7 @@
 from __future__ import annotations
 
 from tealhook.partitions.capacity import MachineCapacity
-from tealhook.partitions.commands import Commands
+from tealhook.partitions.commands import WorkerCommands
 from tealhook.partitions.fetch_rates import FetchRates
 from tealhook.partitions.grants import ReservationGrants
 from tealhook.partitions.heartbeats import HeartbeatReceiver
@@ -46,7 +46,7 @@
         self._grants = ReservationGrants(state, self.capacity, self.reservations, fetch_rates)
         self._worker_calls = WorkerCalls(state)
         self.status_updates = StatusUpdates(state, self.reservations, self.launched_jobs, observer)
-        self.commands = Commands(state, self.reservations, self.launched_jobs, self.status_updates, responder)
+        self.commands = WorkerCommands(state, self.reservations, self.launched_jobs, self.status_updates, responder)
         self.responses = HeartbeatResponses(state, self.capacity, self.commands)
         self._heartbeats = HeartbeatReceiver(state, self.reservations, fetch_rates, self._health, self.status_updates)
 
@@ -92,7 +92,9 @@
     def is_unheard(self) -> bool:
         """Whether no machine, be there any or not, has been heard of for longer than a lease."""
         since = self._effects.now() - UNHEARD_LEASES * self._workers.lease_s
-        return self._state.owned_at < since and all(machine.heard_at < since for machine in self.machines.values())
+        return self._state.owned_at < since and all(
+            machine.last_heartbeat_at < since for machine in self.machines.values()
+        )
 
     def probe(self) -> None:
         """Call machines that commands didn't reach, to learn whether they would now."""
@@ -108,13 +110,13 @@
         """Give nothing more to these machines; all others of the partition are not drained any more."""
         drained = set(names)
         for machine in self.machines.values():
-            machine.drained = machine.name in drained
+            machine.is_draining = machine.name in drained
 
     def machine_states(self) -> list[mesh.MachineState]:
         """The machines as the fleet manager needs to know them."""
         now = self._effects.now()
         # One that is not reconciled is known from what may be a late copy: nothing to count on.
-        return [self._machine_state(machine, now) for machine in self.machines.values() if machine.reconciled]
+        return [self._machine_state(machine, now) for machine in self.machines.values() if machine.is_reconciled]
 
     def _machine_state(self, machine: Machine, now: float) -> mesh.MachineState:
         machine_type = self._state.machine_types.get(machine.machine_type)
@@ -127,8 +129,8 @@
             machine.spot,
             used_cpus,
             self.capacity.empty_in(machine, now),
-            now - machine.heard_at,
-            machine.terminating,
-            (machine.drained or machine.terminating) and not is_busy,
+            now - machine.last_heartbeat_at,
+            machine.is_terminating,
+            (machine.is_draining or machine.is_terminating) and not is_busy,
             self._health.needs_replacement(machine, now),
         )
--- a/tealhook/partitions/preemption.py
+++ b/tealhook/partitions/preemption.py
@@ -6,7 +6,7 @@
 from operator import itemgetter
 from typing import NamedTuple
 
-from tealhook.partitions.machine import Machine, MachineTask, add, fits
+from tealhook.partitions.machine import Machine, MachineTask, add_resources, fits
 from tealhook.partitions.pending_grant import PendingGrant
 from tealhook.partitions.state import PartitionState
 from tealhook.wire import mesh
@@ -73,7 +73,7 @@
                 over_guarantee[entry.team] -= entry.spec.vcpus
             lost_cpu_s += loss
             victims.append(task)
-            free = add(free, entry.spec.resources)
+            free = add_resources(free, entry.spec.resources)
         return PreemptionOffer(lost_cpu_s, victims, free) if victims and fits(free, required) else None
 
     def charge(self, request: mesh.ReservationRequest, victims: list[MachineTask]) -> None:
@@ -106,8 +106,8 @@
         return [
             task
             for task in machine.tasks.values()
-            if task.alive
-            and not (task.yields_to or task.non_preemptible or task.status == TaskStatus.CHECKPOINTING)
+            if task.is_alive
+            and not (task.preempting_reservation_id or task.non_preemptible or task.status == TaskStatus.CHECKPOINTING)
             and task.job in self._job_index.active
         ]
 
--- a/tealhook/partitions/redirects.py
+++ b/tealhook/partitions/redirects.py
@@ -13,7 +13,7 @@
 from tealhook.wire import workers as wire
 from tealhook.wire.common import encode_json, error_body
 
-MIN_TRACKED = 4096  # machines; beyond that those are forgotten of which nothing was noted for long
+MIN_TRACKED_MACHINES = 4096  # machines; beyond that those are forgotten of which nothing was noted for long
 TRACKED_LEASES = 4.0
 RELAY_LEASES = 4  # how long heartbeats are relayed before the worker is redirected once more
 MAX_RELAY_S = 2.0  # an owner that has not answered a relayed heartbeat by then can't be reached
@@ -30,7 +30,7 @@
         self._mesh = mesh
         self._redirected_at: dict[str, float] = {}  # machine -> when it was last redirected to the owner
         self._relayed_since: dict[str, float] = {}  # machine -> since when its heartbeats are relayed
-        self._max_tracked = MIN_TRACKED  # before old entries of these are looked for
+        self._cleanup_threshold = MIN_TRACKED_MACHINES  # before old entries of these are looked for
 
     def forget(self, machine: str) -> None:
         """The machine's heartbeats come to their owner, which is this node."""
@@ -88,9 +88,9 @@
 
     def _forget_old(self, times: dict[str, float], now: float) -> None:
         """Drop what is too old to matter from a table of machines, once it has doubled since the last time."""
-        if len(times) <= self._max_tracked:
+        if len(times) <= self._cleanup_threshold:
             return
         since = now - TRACKED_LEASES * self._workers.lease_s
         for name in [name for name, at in times.items() if at < since]:
             del times[name]
-        self._max_tracked = max(MIN_TRACKED, 2 * len(times))
+        self._cleanup_threshold = max(MIN_TRACKED_MACHINES, 2 * len(times))
--- a/tealhook/partitions/released_machines.py
+++ b/tealhook/partitions/released_machines.py
@@ -6,8 +6,8 @@
 
 from tealhook.context import NodeContext
 
-MIN_REMEMBERED = 20_000  # machines remembered, as long as a copy of a heartbeat may be late in any case
-REMEMBERED_LEASES = 20.0  # beyond that number, one is forgotten after so many leases
+MIN_REMEMBERED_MACHINES = 20_000  # machines remembered, as long as a copy of a heartbeat may be late in any case
+RETENTION_LEASES = 20.0  # beyond that number, one is forgotten after so many leases
 
 
 class ReleasedMachines:
@@ -31,6 +31,6 @@
         """Remember a released machine, and forget those that were released long ago."""
         now = self._effects.now()
         self._released_at.setdefault(machine, now)
-        since = now - REMEMBERED_LEASES * self._workers.lease_s
-        while len(self._released_at) > MIN_REMEMBERED and next(iter(self._released_at.values())) < since:
+        since = now - RETENTION_LEASES * self._workers.lease_s
+        while len(self._released_at) > MIN_REMEMBERED_MACHINES and next(iter(self._released_at.values())) < since:
             self._released_at.popitem(last=False)
--- a/tealhook/partitions/reservations.py
+++ b/tealhook/partitions/reservations.py
@@ -35,7 +35,7 @@
             self._team_tokens[team] = team_token
             for machine in self._machines.values():  # what the team's earlier scheduler reserved
                 for reservation in machine.list_reservations():
-                    if reservation.team == team and not reservation.launching:
+                    if reservation.team == team and not reservation.is_assigned:
                         self.drop(machine, reservation)
         return True
 
@@ -61,7 +61,7 @@
             non_preemptible=request.non_preemptible,
         )
         for task in victims:
-            task.yields_to = reservation.reservation_id
+            task.preempting_reservation_id = reservation.reservation_id
         machine.reservations[reservation.reservation_id] = reservation
         self._machine_of[reservation.reservation_id] = machine
         self._state.mark_changed(machine)
@@ -84,8 +84,8 @@
         self._machine_of.pop(reservation.reservation_id, None)
         self._state.mark_changed(machine)
         for task in machine.tasks.values():
-            if task.yields_to == reservation.reservation_id:
-                task.yields_to = 0
+            if task.preempting_reservation_id == reservation.reservation_id:
+                task.preempting_reservation_id = 0
 
     def drop_all(self, machine: Machine) -> None:
         """Drop every reservation on a machine that is gone, or whose lease has ended."""
@@ -100,6 +100,6 @@
         for machine in self._machines.values():
             if machine.reservations:
                 for reservation in machine.list_reservations():
-                    if not reservation.launching and reservation.expires_at < now:
+                    if not reservation.is_assigned and reservation.expires_at < now:
                         self.drop(machine, reservation)
         return [machine for machine in self._machines.values() if machine.accepts_tasks(now, max_silence_s)]
--- a/tealhook/partitions/responses.py
+++ b/tealhook/partitions/responses.py
@@ -3,8 +3,8 @@
 from __future__ import annotations
 
 from tealhook.partitions.capacity import MachineCapacity
-from tealhook.partitions.commands import Commands
-from tealhook.partitions.machine import EPSILON, NEVER_S
+from tealhook.partitions.commands import WorkerCommands
+from tealhook.partitions.machine import FAR_FUTURE_S, RESOURCE_TOLERANCE
 from tealhook.partitions.state import PartitionState
 from tealhook.wire import workers as wire
 from tealhook.wire.common import encode_json
@@ -18,7 +18,7 @@
 class HeartbeatResponses:
     """The bodies of responses, and their hold-open times."""
 
-    def __init__(self, state: PartitionState, capacity: MachineCapacity, commands: Commands) -> None:
+    def __init__(self, state: PartitionState, capacity: MachineCapacity, commands: WorkerCommands) -> None:
         """Responses carry `commands`."""
         self._effects = state.context.effects
         self._workers = state.context.workers
@@ -27,13 +27,13 @@
         self._capacity = capacity
         self._commands = commands
 
-    def body_for(self, name: str | None) -> bytes:
+    def build_body(self, name: str | None) -> bytes:
         """The body of a 200 to a machine's newest heartbeat; None: it carries no commands."""
         machine = self._machines.get(name) if name is not None else None
         may_command = machine is not None and machine.acknowledges_token
-        commands = self._commands.commands_for(machine) if machine is not None and may_command else []
+        commands = self._commands.collect_commands(machine) if machine is not None and may_command else []
         if machine is not None:
-            machine.answered_at = self._effects.now()
+            machine.last_answered_at = self._effects.now()
         return encode_json(wire.CommandBatch(self._token, commands))
 
     def hold_open_s(self, name: str) -> float:
@@ -46,12 +46,12 @@
         machine = self._machines.get(name)
         if machine is None or not machine.acknowledges_token:
             return 0.0
-        if not machine.accepts_tasks(self._effects.now(), NEVER_S):
+        if not machine.accepts_tasks(self._effects.now(), FAR_FUTURE_S):
             return 0.0
-        if machine.pending_stops or any(reservation.launching for reservation in machine.reservations.values()):
+        if machine.pending_stops or any(reservation.is_assigned for reservation in machine.reservations.values()):
             return 0.0  # there is, or will soon be, a command for it
         free = self._capacity.free_resources(machine)
-        if free.vcpus <= EPSILON or free.memory_gb <= EPSILON:
+        if free.vcpus <= RESOURCE_TOLERANCE or free.memory_gb <= RESOURCE_TOLERANCE:
             return 0.0
         periods = BUSY_HOLD_PERIODS if machine.tasks else IDLE_HOLD_PERIODS
         hold_s = max(GAP_SHARE * HEARTBEAT_GAP_S, periods * self._workers.report_s)
--- a/tealhook/partitions/status_updates.py
+++ b/tealhook/partitions/status_updates.py
@@ -53,28 +53,28 @@
         # Exits not settled are published again, but not with every heartbeat: a scheduler makes their outcome durable
         # first.
         repeat_s = REPEAT_PERIODS * self._workers.report_s
-        is_repeat_due = machine.has_exits and now - machine.published_at >= repeat_s
-        if not machine.reconciled or not (machine.changed or is_repeat_due or force):
+        is_repeat_due = machine.has_unsettled_exits and now - machine.last_published_at >= repeat_s
+        if not machine.is_reconciled or not (machine.has_unpublished_changes or is_repeat_due or force):
             return
         tasks_by_team = self._tasks_by_team(machine)
         if tasks_by_team is None:
             return
-        machine.changed = False
-        machine.published_at = now
-        for team in sorted(tasks_by_team.keys() | machine.published.keys() | ({force} if force else set())):
+        machine.has_unpublished_changes = False
+        machine.last_published_at = now
+        for team in sorted(tasks_by_team.keys() | machine.published_statuses.keys() | ({force} if force else set())):
             observed = tasks_by_team.get(team, [])
             content = (machine.session, tuple((task.job, task.index, task.attempt, task.status) for task in observed))
-            last = machine.published.get(team)
-            has_exits = any(task.status == wire.TaskStatus.EXITED for task in observed)
+            last = machine.published_statuses.get(team)
+            has_unsettled_exits = any(task.status == wire.TaskStatus.EXITED for task in observed)
             if (
                 last is not None
                 and last.content == content
                 and team != force
-                and not (has_exits and now - last.at >= repeat_s)
+                and not (has_unsettled_exits and now - last.published_at >= repeat_s)
             ):
                 continue
             sequence = self.next_sequence()
-            machine.published[team] = PublishedStatus(content, now, sequence)
+            machine.published_statuses[team] = PublishedStatus(content, now, sequence)
             self._observer.publish_status(
                 team,
                 mesh.StatusUpdate(
@@ -105,7 +105,7 @@
                 mesh.ObservedTask(task.job, task.index, task.attempt, task.status, task.cause)
             )
         for reservation in machine.reservations.values():
-            if reservation.launching:
+            if reservation.is_assigned:
                 teams.setdefault(reservation.team, []).append(
                     mesh.ObservedTask(reservation.job, reservation.index, reservation.attempt, mesh.LAUNCHING)
                 )
@@ -121,13 +121,13 @@
         silent_s = []
         for name in request.machines:
             machine = self._machines.get(name)
-            if machine is None or not machine.reconciled:
+            if machine is None or not machine.is_reconciled:
                 silent_s.append(NEVER_HEARD_S)
             else:
-                silent_s.append(now - machine.heard_at)
+                silent_s.append(now - machine.last_heartbeat_at)
         unknown_count = sum(name not in self._machines for name in request.machines)
         max_silence_s = SILENT_PERIODS * self._workers.report_s
-        silent_count = sum(now - machine.heard_at > max_silence_s for machine in self._machines.values())
+        silent_count = sum(now - machine.last_heartbeat_at > max_silence_s for machine in self._machines.values())
         machine_count = len(self._machines) + unknown_count
         mostly_reporting = silent_count + unknown_count <= MAX_SILENT_SHARE * machine_count
         return mesh.ReconcileReply(
@@ -145,6 +145,6 @@
             machine = self._machines.get(name)
             if machine is None:
                 continue
-            last = machine.published.get(request.team)
+            last = machine.published_statuses.get(request.team)
             if not known_sequence or last is None or last.sequence != known_sequence:
                 self.publish(machine, now, force=request.team)
--- a/tealhook/partitions/termination.py
+++ b/tealhook/partitions/termination.py
@@ -7,14 +7,14 @@
 from tealhook.partitions.reservations import Reservations
 
 
-def evict(machine: Machine, job_index: JobIndex, reservations: Reservations, notice_s: float, now: float) -> None:
+def evict_tasks(machine: Machine, job_index: JobIndex, reservations: Reservations, notice_s: float, now: float) -> None:
     """Stop what can't end before the cloud takes the machine: elsewhere it begins anew that much sooner.
 
     Left alone it would be lost when the machine goes, and known to be lost only after that has been noticed.
     """
     for key, task in machine.tasks.items():
         entry = job_index.active.get(task.job)
-        if entry is None or not task.alive or key in machine.pending_stops:
+        if entry is None or not task.is_alive or key in machine.pending_stops:
             continue
         spec = entry.spec
         if (task.running_since or now) + spec.estimated_run_s <= now + notice_s:
@@ -24,7 +24,7 @@
     for reservation in machine.list_reservations():
         entry = job_index.active.get(reservation.job)
         if (
-            reservation.launching
+            reservation.is_assigned
             and not reservation.send_count
             and entry is not None
             and entry.spec.estimated_run_s > notice_s
--- a/tealhook/partitions/worker_calls.py
+++ b/tealhook/partitions/worker_calls.py
@@ -62,7 +62,7 @@
 
     def _is_reconciled(self, name: str) -> bool:
         machine = self._machines.get(name)
-        return machine is not None and machine.reconciled
+        return machine is not None and machine.is_reconciled
 
     def _call_waiting(self) -> None:
         """Call as many workers as there are connections for: calls beyond that would fail, a lease's quarter lost."""
@@ -94,10 +94,10 @@
         for machine in self._machines.values():
             if (
                 machine.commands_lost_since is None
-                or now - machine.probed_at < self._workers.lease_s * CALL_INTERVAL_LEASES
+                or now - machine.last_probed_at < self._workers.lease_s * CALL_INTERVAL_LEASES
             ):
                 continue
-            machine.probed_at = now
+            machine.last_probed_at = now
             self._effects.worker(
                 machine.address, "GET", "/show", None, DIRECT_CALL_TIMEOUT_S, partial(self._on_probed, machine)
             )
--- a/tests/test_bin_packing.py
+++ b/tests/test_bin_packing.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from tealhook.partitions.machine import Machine, subtract
+from tealhook.partitions.machine import Machine, subtract_resources
 from tealhook.partitions.packing import PackingOrder
 from tealhook.wire import workers
 from tealhook.wire.common import Resources
@@ -31,9 +31,11 @@
     packing = PackingOrder(machines, lambda machine: free[machine.name])
     for _ in range(40):
         machine = rng.choice(machines)
-        free[machine.name] = subtract(free[machine.name], Resources(rng.uniform(-2.0, 2.0), 0.0, 1.0))
+        free[machine.name] = subtract_resources(free[machine.name], Resources(rng.uniform(-2.0, 2.0), 0.0, 1.0))
         packing.set_free(machine, free[machine.name])
         assert packing.free(machine) == free[machine.name]
         for image in ("img", ""):
-            in_order = sorted(machines, key=lambda m: (not m.has_image(image), not m.spot, free[m.name][0], m.heard_at))
+            in_order = sorted(
+                machines, key=lambda m: (not m.has_image(image), not m.spot, free[m.name][0], m.last_heartbeat_at)
+            )
             assert [m.name for m in packing.in_order(image)] == [m.name for m in in_order]
--- a/tests/test_command_loss.py
+++ b/tests/test_command_loss.py
@@ -42,7 +42,7 @@
 
 
 def test_without_command_loss_detection_tasks_are_sent_in_vain(monkeypatch):
-    monkeypatch.setattr(MachineHealth, "note_commands_lost", lambda self, machine, now: None)
+    monkeypatch.setattr(MachineHealth, "mark_commands_lost", lambda self, machine, now: None)
     world, _name = _cluster_with_command_loss(900.0)
     assert world.network.lost_starts > 40
 
@@ -96,7 +96,13 @@
     machine = part.machines[name]
     world.cloud.machines[name].hung = True
     world.run(3.0)
-    before = (machine.heard_at, machine.sequence, machine.session, set(machine.tasks), set(machine.reservations))
+    before = (
+        machine.last_heartbeat_at,
+        machine.sequence,
+        machine.session,
+        set(machine.tasks),
+        set(machine.reservations),
+    )
     told = []
     part.status_updates._observer = Recorder(told)
     assert len(duplicates) > 3
@@ -104,15 +110,21 @@
         _accept_duplicates(monkeypatch)
     for body in duplicates:
         _send_heartbeat(owner, body)
-    after = (machine.heard_at, machine.sequence, machine.session, set(machine.tasks), set(machine.reservations))
+    after = (
+        machine.last_heartbeat_at,
+        machine.sequence,
+        machine.session,
+        set(machine.tasks),
+        set(machine.reservations),
+    )
     assert (before == after) == (told == []) == (not disabled)
 
 
 @pytest.mark.parametrize("disabled", [False, True])
 def test_duplicate_heartbeat_does_not_revive_released_machine(disabled, monkeypatch):
     if disabled:
-        monkeypatch.setattr("tealhook.partitions.released_machines.MIN_REMEMBERED", 0)
-        monkeypatch.setattr("tealhook.partitions.released_machines.REMEMBERED_LEASES", -1.0)
+        monkeypatch.setattr("tealhook.partitions.released_machines.MIN_REMEMBERED_MACHINES", 0)
+        monkeypatch.setattr("tealhook.partitions.released_machines.RETENTION_LEASES", -1.0)
     owner, name, duplicates = _duplicate_heartbeats(world := _busy_cluster(23))
     world.cloud.remove(name)
     for node in world.nodes.values():
--- a/tests/test_large_fleet.py
+++ b/tests/test_large_fleet.py
@@ -93,7 +93,7 @@
     for _ in range(2):
         assert fleet.report_all() == [[200]] * MACHINES
     part = fleet.partition
-    assert sum(machine.reconciled for machine in fleet.partition.machines.values()) == MACHINES
+    assert sum(machine.is_reconciled for machine in fleet.partition.machines.values()) == MACHINES
     shape = mesh.TaskRequirements(4.0, 0.0, 4.0, "img", 0.6, True, (), 1, 5.0)
     assert part.inquire([shape]).capacities[0].uncached == 2 * MACHINES
     assert len(worked) == MACHINES
@@ -170,12 +170,12 @@
         body = _report(i, 0, 1, zone=zone)
         fleet.node.on_request(make_request("POST", "/v1/report", body), lambda status, *_rest: answered.append(status))
     assert answered == [421] * count
-    assert len(fleet.node.partition_manager._redirects._redirected_at) == count > redirects.MIN_TRACKED
+    assert len(fleet.node.partition_manager._redirects._redirected_at) == count > redirects.MIN_TRACKED_MACHINES
     fleet.world.run(5 * 15.0)
     for i in range(count, count + 10):
         fleet.node.on_request(make_request("POST", "/v1/report", _report(i, 0, 1, zone=zone)), lambda *_answer: None)
     for _ in range(3):  # what is old goes when the table grows
-        fleet.node.partition_manager._redirects._max_tracked = redirects.MIN_TRACKED
+        fleet.node.partition_manager._redirects._cleanup_threshold = redirects.MIN_TRACKED_MACHINES
         fleet.node.on_request(make_request("POST", "/v1/report", _report(1, 0, 2, zone=zone)), lambda *_answer: None)
     assert len(fleet.node.partition_manager._redirects._redirected_at) <= 12
 
@@ -183,7 +183,7 @@
 def test_released_names_outlast_duplicate_heartbeats(monkeypatch):
     fleet = _Fleet(95)
     parts = fleet.node.partition_manager
-    names = [f"host-9{i:05d}" for i in range(2 * released_machines.MIN_REMEMBERED)]
+    names = [f"host-9{i:05d}" for i in range(2 * released_machines.MIN_REMEMBERED_MACHINES)]
     for name in names:
         parts.forget_machine(name)
     statuses: list[int] = []
@@ -191,9 +191,9 @@
         request = make_request("POST", "/v1/report", _report(i, fleet.partition.token, 1))
         fleet.node.on_request(request, lambda status, *_rest: statuses.append(status))
     assert statuses == [503, 503]
-    fleet.world.run(released_machines.REMEMBERED_LEASES * 15.0 + 1.0)
+    fleet.world.run(released_machines.RETENTION_LEASES * 15.0 + 1.0)
     parts.forget_machine("host-one-more")
-    assert len(parts._released) <= released_machines.MIN_REMEMBERED
+    assert len(parts._released) <= released_machines.MIN_REMEMBERED_MACHINES
 
 
 def test_failover_calls_every_worker_within_connection_limit():
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -53,7 +53,7 @@
     for i in range(300):
         report = workers.Heartbeat(f"host-{i}", "10.1.0.1:9000", "small", "za", 1, 1, 1, True)
         machines[report.machine] = machine = Machine(report, node.context.effects.now())
-        machine.reconciled = True
+        machine.is_reconciled = True
     state = PartitionState(node.context, "za", 1, node.job_index, node.machine_types, {}, machines)
     part = Partition(state, node, node.partition_manager)
     worked = []
--- a/tests/test_scheduling.py
+++ b/tests/test_scheduling.py
@@ -79,7 +79,7 @@
         held = MachineTask(
             f"{job}/0", job, 0, 1, "running", None, world.now - ran_s, running_since=node.context.effects.now() - ran_s
         )
-        machine.tasks[AttemptKey(held.task, 1)] = held
+        machine.tasks[AttemptKey(held.task_id, 1)] = held
     state = PartitionState(node.context, "za", 1, node.job_index, node.machine_types, {}, {"host-0": machine})
     shape = mesh.TaskRequirements(4.0, 0.0, 4.0, "", 0.0, True, (), 2, 20.0)
     want = mesh.ReservationRequest("req-000003", "team-1", shape, 1, False, False, [], 1, preempt, False)
--- a/tests/test_stale_cancellation_view.py
+++ b/tests/test_stale_cancellation_view.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from tealhook.partitions.heartbeats import CLOCK_DRIFT
+from tealhook.partitions.heartbeats import MAX_CLOCK_DRIFT_RATIO
 from tealhook.partitions.manager import PartitionManager
 from tealhook.wire import mesh
 from tealhook.wire import workers as wire
@@ -155,7 +155,9 @@
     )
 
     def launches() -> int:
-        return sum(command.action == wire.CommandAction.START for command in partition.commands.commands_for(machine))
+        return sum(
+            command.action == wire.CommandAction.START for command in partition.commands.collect_commands(machine)
+        )
 
     assert launches() == 1
     viewed_at, node.job_index.watcher.viewed_at = (
@@ -176,5 +178,5 @@
         manager._max_view_age_s * max(DRIFTS) / min(DRIFTS)
     )  # the oldest view on which an answer is given, in true time
     worker_s = lease_s * max(DRIFTS) / min(DRIFTS) + 0.1  # a worker's lease by the slowest clock, and its own lateness
-    assert max(DRIFTS) / min(DRIFTS) <= CLOCK_DRIFT
+    assert max(DRIFTS) / min(DRIFTS) <= MAX_CLOCK_DRIFT_RATIO
     assert 0 < view_s + worker_s <= cancel_s
--- a/tests/test_termination_notices.py
+++ b/tests/test_termination_notices.py
@@ -39,7 +39,7 @@
 
 
 def test_without_eviction_on_termination_notice_machine_is_kept(monkeypatch):
-    monkeypatch.setattr("tealhook.partitions.heartbeats.evict", lambda *_machine_and_notice: None)
+    monkeypatch.setattr("tealhook.partitions.heartbeats.evict_tasks", lambda *_machine_and_notice: None)
     world, worker = _notified(60.0, 20.0)
     world.run(6.0)
     assert worker.name in world.cloud.machines
