--- a/tealhook/partitions/commands.py
+++ b/tealhook/partitions/commands.py
@@ -1,4 +1,4 @@
-"""Commands to workers: starts on reservations, stops and forgets, in responses to heartbeats or directly."""
+"""Commands to workers: task starts, stops and forgets, sent in responses to heartbeats or by direct calls."""
 
 from __future__ import annotations
 
@@ -16,14 +16,14 @@
 from tealhook.wire.common import Resources, encode_json
 
 ENDED_STATES = (JobState.CANCELLED, JobState.DONE)
-MAX_COMMANDS = 300  # keeps a response far below the line limit
+MAX_COMMANDS = 300  # per message; keeps the body, one line of JSON, far below the maximum line length
 
 
 class WorkerCommands:
-    """Commands to the workers of one partition.
+    """Creates the commands to the workers of one partition.
 
-    Starts ride on responses to heartbeats alone: one sent directly could be executed minutes late. Stops go both ways,
-    since they may be repeated and come late: attempts never return.
+    Starts are sent only in responses to heartbeats, since one sent directly could be executed minutes late. Stops are
+    also sent directly: a repeated or late stop is harmless, since an attempt never runs again.
     """
 
     def __init__(
@@ -34,7 +34,7 @@
         status_updates: StatusUpdates,
         responder: HeartbeatResponder,
     ) -> None:
-        """Replies to launch requests are numbered among `status_updates`; `responder` holds the open heartbeats."""
+        """Take sequence numbers of replies from `status_updates`, and answer open heartbeats through `responder`."""
         self._effects = state.context.effects
         self._token = state.token
         self._job_index = state.job_index
@@ -46,18 +46,18 @@
         self._responder = responder
 
     def collect_commands(self, machine: Machine) -> list[wire.Command]:
-        """The commands in response to a machine's heartbeat: stops, forgets, and starts of what fits."""
+        """Return the commands for the response to a machine's heartbeat: stops, forgets, and starts that fit."""
         commands: list[wire.Command] = []
-        status = self._job_index.status
+        job_status = self._job_index.status
         for key, task in machine.tasks.items():
             if task.is_alive:
-                if status(task.job) in ENDED_STATES:
+                if job_status(task.job) in ENDED_STATES:
                     machine.pending_stops.setdefault(key, 0.0)
                 if key in machine.pending_stops:
                     commands.append(
                         wire.Command(wire.CommandAction.STOP, task.task_id, task.attempt, machine.pending_stops[key])
                     )
-            elif key in machine.pending_forgets or status(task.job) in ENDED_STATES:
+            elif key in machine.pending_forgets or job_status(task.job) in ENDED_STATES:
                 commands.append(wire.Command(wire.CommandAction.FORGET, task.task_id, task.attempt))
         machine_type = self._machine_types.get(machine.machine_type)
         if machine_type is not None and not self._responder.may_not_launch():
@@ -65,7 +65,7 @@
         return commands[:MAX_COMMANDS]
 
     def _add_starts(self, machine: Machine, machine_type: MachineType, commands: list[wire.Command]) -> None:
-        """Start what fits beside the tasks that are still on the machine, whatever was reserved."""
+        """Add start commands for the assigned reservations that fit beside the tasks still on the machine."""
         free: Resources | None = None
         for reservation in machine.list_reservations():
             if not reservation.is_assigned or len(commands) >= MAX_COMMANDS:
@@ -76,24 +76,25 @@
                     self._reservations.drop(machine, reservation)
                 continue
             if free is None:
-                free = self._free_beside_tasks(machine, machine_type)
+                free = self._free_after_stops(machine, machine_type)
             if fits(free, reservation.resources):
                 free = subtract_resources(free, reservation.resources)
                 reservation.send_count += 1
                 commands.append(wire.Command(wire.CommandAction.START, reservation.task_id, reservation.attempt))
 
-    def _free_beside_tasks(self, machine: Machine, machine_type: MachineType) -> Resources:
-        """What is free besides the tasks on a machine that won't exit at once when they are stopped."""
+    def _free_after_stops(self, machine: Machine, machine_type: MachineType) -> Resources:
+        """Return the resources free on a machine once the tasks that exit at once on a pending stop are gone."""
         free = machine_type.resources
         for key, task in machine.tasks.items():
             if task.is_alive and not (
                 key in machine.pending_stops and self._exits_at_once(task, machine.pending_stops[key])
             ):
-                # A task that nobody here knows may take all of it.
+                # A task of a job that is unknown here may use the whole machine.
                 free = subtract_resources(free, self._launched_jobs.resources_of(task.job) or machine_type.resources)
         return free
 
     def _exits_at_once(self, task: MachineTask, grace_period_s: float) -> bool:
+        """Check whether a task exits without saving a checkpoint when it is stopped with this grace period."""
         entry = self._job_index.active.get(task.job)
         if entry is None:
             return grace_period_s <= 0
@@ -104,13 +105,13 @@
         )
 
     def _stop_directly(self, machine: Machine) -> None:
-        """Send a machine's stops directly: harmless to repeat or to execute late, since attempts never return.
+        """Send a machine's pending stops in the response to an open heartbeat, or else by a direct call.
 
-        The worker reports such a change at once, so that the start for which resources are freed rides on that
-        response. (Direct forgets do not make it report: tried and measured. Starts are never sent directly.)
+        The worker reports the exits at once, so that the start for which the resources are freed can be sent in the
+        response to that heartbeat. Forgets are not sent directly, since they do not make the worker report.
         """
         if self._responder.answer_now(machine.name):
-            return  # they ride on the response to a heartbeat
+            return
         commands = [
             wire.Command(wire.CommandAction.STOP, key.task_id, key.attempt, grace_period_s)
             for key, grace_period_s in machine.pending_stops.items()
@@ -121,10 +122,10 @@
             self._effects.worker(machine.address, "POST", "/orders", body, DIRECT_CALL_TIMEOUT_S, ignore_answer)
 
     def launch(self, request: mesh.LaunchRequest) -> mesh.LaunchReply:
-        """Use reservations after their assignment is durable. Each reservation serves once."""
+        """Launch tasks on reservations once their assignments are durable; each reservation can be used once."""
         refused = []
-        stopping: dict[str, Machine] = {}
-        launching: dict[str, None] = {}  # in order: seeded runs must go the same way every time
+        stopping_machines: dict[str, Machine] = {}
+        launching_machines: dict[str, None] = {}  # an ordered set, so that runs with the same seed are identical
         is_current = self._reservations.accept_team_token(request.team, request.team_token)
         for start in request.starts:
             machine = self._reservations.machine_of(start.reservation_id)
@@ -145,27 +146,27 @@
             reservation.index, reservation.attempt = start.index, start.attempt
             reservation.state = ReservationState.LAUNCHING
             machine.has_unpublished_changes = True
-            launching[machine.name] = None
+            launching_machines[machine.name] = None
             self._launched_jobs.remember(reservation.job, reservation.team, reservation.resources)
             for victim in reservation.victims:
-                machine.pending_stops[victim] = self._preemption_grace_s(machine.tasks.get(victim))
-                stopping[machine.name] = machine
-        for machine in stopping.values():
+                machine.pending_stops[victim] = self._preemption_grace_period_s(machine.tasks.get(victim))
+                stopping_machines[machine.name] = machine
+        for machine in stopping_machines.values():
             self._stop_directly(machine)
-        for name in launching:
+        for name in launching_machines:
             self._responder.answer_now(name)
         return mesh.LaunchReply(self._token, self._status_updates.next_sequence(), refused)
 
-    def _preemption_grace_s(self, task: MachineTask | None) -> float:
-        """The grace period of a task that is preempted: time for a checkpoint, if it makes one."""
+    def _preemption_grace_period_s(self, task: MachineTask | None) -> float:
+        """Return the grace period of a preempted task: the time to save a checkpoint, or 0 if it saves none."""
         entry = self._job_index.active.get(task.job) if task else None
         return entry.spec.checkpoint_s if entry and entry.spec.checkpoint_interval_s > 0 else 0.0
 
     def stop(self, request: mesh.StopRequest) -> None:
-        """Stop or forget attempts on behalf of the team's present scheduler."""
+        """Stop or forget attempts at the request of a team's current scheduler; ignore earlier ones."""
         if not self._reservations.accept_team_token(request.team, request.team_token):
             return
-        stopping: dict[str, Machine] = {}
+        stopping_machines: dict[str, Machine] = {}
         for stop in request.items:
             machine = self._machines.get(stop.machine)
             if machine is None:
@@ -176,16 +177,19 @@
                     machine.pending_forgets.add(key)
             elif key in machine.tasks:
                 if key not in machine.pending_stops and machine.tasks[key].is_alive:
-                    stopping[stop.machine] = machine
+                    stopping_machines[stop.machine] = machine
                 grace_period_s = machine.pending_stops.get(key, stop.grace_period_s)
                 machine.pending_stops[key] = min(stop.grace_period_s, grace_period_s)
             else:
                 self._revoke(machine, key)
-        for machine in stopping.values():
+        for machine in stopping_machines.values():
             self._stop_directly(machine)
 
     def _revoke(self, machine: Machine, key: AttemptKey) -> None:
-        """Start an attempt no more; one whose start may be out stays until a heartbeat shows what came of it."""
+        """Cancel the launch of an attempt.
+
+        If its start command may have been sent, the reservation stays until a heartbeat shows the outcome.
+        """
         for reservation in machine.list_reservations():
             if reservation.is_assigned and reservation.key == key:
                 reservation.state = ReservationState.REVOKED
--- a/tealhook/partitions/heartbeats.py
+++ b/tealhook/partitions/heartbeats.py
@@ -1,4 +1,4 @@
-"""Heartbeats made to the owner of a partition: what they show of a machine's session, tasks and reservations."""
+"""Processing of the heartbeats that a partition's owner receives from its machines."""
 
 from __future__ import annotations
 
@@ -17,12 +17,12 @@
 
 log = logging.getLogger(__name__)
 
-MAX_CLOCK_DRIFT_RATIO = 1.001  # two steady clocks, each at most 0.05% off
-MAX_START_SENDS = 3  # a start sent so often without effect is given up
+MAX_CLOCK_DRIFT_RATIO = 1.001  # between the rates of two monotonic clocks, each of which is off by at most 0.05%
+MAX_START_SENDS = 3  # a start command that has been sent this often without effect is given up
 
 
 class HeartbeatReceiver:
-    """Takes heartbeats into the machines that they are of."""
+    """Applies heartbeats to the machines of one partition."""
 
     def __init__(
         self,
@@ -32,7 +32,7 @@
         health: MachineHealth,
         status_updates: StatusUpdates,
     ) -> None:
-        """Changes that heartbeats show go to the other components."""
+        """Pass the changes found in heartbeats on to the given components."""
         self._effects = state.context.effects
         self._workers = state.context.workers
         self._state = state
@@ -45,37 +45,37 @@
         self._status_updates = status_updates
 
     def receive(self, heartbeat: wire.Heartbeat) -> bool:
-        """Take a heartbeat made to the owner; False when it is an old one. The caller has checked the tokens."""
+        """Apply a heartbeat whose token the caller has checked; return False if it is outdated."""
         now = self._effects.now()
         machine = self._machines.get(heartbeat.machine)
         if machine is None:
             machine = self._machines[heartbeat.machine] = Machine(heartbeat, now)
         if (heartbeat.session, heartbeat.sequence) <= (machine.session, machine.sequence):
-            return False  # held up on its way, or a copy
+            return False  # delayed on its way, or a duplicate
         if heartbeat.session > machine.session:
             if now - machine.last_answered_at < self._workers.lease_s / 2:
-                # It had been answered when its lease ran out: the answers did not arrive.
+                # Heartbeats were answered until shortly before the lease expired, so the answers did not arrive.
                 self._health.mark_commands_lost(machine, now)
             self._begin_session(machine, heartbeat.session, now)
         elif now - machine.session_started_at > MAX_CLOCK_DRIFT_RATIO * self._workers.lease_s + wire.ANSWER_TIMEOUT_S:
-            machine.commands_lost_since = None  # the session has outlived a lease: something of ours arrived
+            machine.commands_lost_since = None  # the session has outlasted a lease, so an answer has arrived
         machine.sequence = heartbeat.sequence
         machine.last_heartbeat_at = now
         machine.address = heartbeat.address
         machine.is_terminating = heartbeat.termination_notice_s is not None
         machine.acknowledges_token = heartbeat.fencing_token == self._token
         if machine.acknowledges_token:
-            # Only a worker that has seen our token obeys nobody before us any more: what such a heartbeat
-            # lacks is provably not there.
+            # A worker that has seen this owner's token rejects the commands of earlier owners, so a task that is
+            # missing from such a heartbeat is provably not on the machine.
             machine.is_reconciled = True
-            self._take_tasks(machine, heartbeat.tasks or [], now)
+            self._apply_task_reports(machine, heartbeat.tasks or [], now)
             if heartbeat.termination_notice_s is not None:
                 evict_tasks(machine, self._job_index, self._reservations, heartbeat.termination_notice_s, now)
         self._status_updates.publish(machine, now)
         return True
 
     def _begin_session(self, machine: Machine, session: int, now: float) -> None:
-        """The worker's lease ran out: every task of the earlier session is stopped and forgotten."""
+        """Reset a machine whose worker lost its lease, and so stopped and forgot all tasks of its last session."""
         machine.session = session
         machine.session_started_at = now
         machine.last_answered_at = LONG_AGO_S
@@ -86,25 +86,27 @@
         machine.pending_forgets.clear()
         self._state.mark_changed(machine)
 
-    def _take_tasks(self, machine: Machine, reports: list[wire.TaskReport], now: float) -> None:
-        # Looked up by plain tuples, which are equal to keys: to make a key of each task in each heartbeat costs more.
-        before = cast("dict[tuple[str, int], MachineTask]", machine.tasks)
+    def _apply_task_reports(self, machine: Machine, reports: list[wire.TaskReport], now: float) -> None:
+        # Lookups use plain tuples, which equal attempt keys: creating a key for each task of each heartbeat costs more.
+        previous_tasks = cast("dict[tuple[str, int], MachineTask]", machine.tasks)
         tasks: dict[AttemptKey, MachineTask] = {}
-        changed = len(reports) != len(before)
+        has_changed = len(reports) != len(previous_tasks)
         for report in reports:
-            task_id = wire.parse_task_id(report.task)
-            if task_id is None:
+            job_and_index = wire.parse_task_id(report.task)
+            if job_and_index is None:
                 continue
-            known = before.get((report.task, report.attempt))
-            task = known or MachineTask(report.task, task_id[0], task_id[1], report.attempt, "", None, now)
-            if known is None or known.status != report.status:
+            previous = previous_tasks.get((report.task, report.attempt))
+            task = previous or MachineTask(
+                report.task, job_and_index[0], job_and_index[1], report.attempt, "", None, now
+            )
+            if previous is None or previous.status != report.status:
                 self._on_status_change(machine, task, report, now)
-                changed = True
+                has_changed = True
             task.status, task.cause = report.status, report.cause
             tasks[task.key] = task
         machine.tasks = tasks
         machine.has_unsettled_exits = any(not task.is_alive for task in tasks.values())
-        if changed:
+        if has_changed:
             self._state.mark_changed(machine)
         self._settle_reservations(machine)
         for ended in [key for key in machine.pending_stops if key not in tasks or not tasks[key].is_alive]:
@@ -114,7 +116,7 @@
     def _on_status_change(self, machine: Machine, task: MachineTask, report: wire.TaskReport, now: float) -> None:
         if report.status == wire.TaskStatus.RUNNING and not task.running_since:
             task.running_since = now
-            self._note_image(machine, task, now)
+            self._record_image(machine, task, now)
         if report.status == wire.TaskStatus.EXITED:
             self._log_exit(machine, task, report, now)
             if report.cause == wire.ExitCause.DONE:
@@ -122,8 +124,8 @@
             elif report.cause == wire.ExitCause.ERROR:
                 self._health.record_error(machine, task.job)
 
-    def _note_image(self, machine: Machine, task: MachineTask, now: float) -> None:
-        """A task has begun to run: the machine has its image, and a fetch that went before is measured."""
+    def _record_image(self, machine: Machine, task: MachineTask, now: float) -> None:
+        """Record that a machine has the image of a task that has begun to run, and the rate of a preceding fetch."""
         entry = self._job_index.active.get(task.job)
         if entry is None:
             return
@@ -139,7 +141,7 @@
     def _log_exit(machine: Machine, task: MachineTask, report: wire.TaskReport, now: float) -> None:
         if log.isEnabledFor(logging.DEBUG) and task.reserved_at and task.running_since:
             log.debug(
-                "%s %s on %s: started %.2f s after its reservation, fetched for %.2f s, ran for %.2f s",
+                "task %s exited (%s) on %s: started %.2f s after its reservation, fetched for %.2f s, ran for %.2f s",
                 report.task,
                 report.cause,
                 machine.name,
@@ -149,19 +151,20 @@
             )
 
     def _settle_reservations(self, machine: Machine) -> None:
-        """Reservations whose tasks the machine reports are settled; those whose starts were lost are dropped."""
+        """Settle the reservations whose tasks the machine reports, and drop those whose start commands were lost."""
         for reservation in machine.list_reservations():
             if not reservation.is_assigned:
                 continue
             task = machine.tasks.get(reservation.key)
             if task is not None:
-                # Seen: from now on the start is never sent again, since after a forget a repeat would
-                # start the attempt anew.
+                # From now on the start command is not sent again: once the worker has forgotten the attempt, a
+                # repeated command would run it a second time.
                 task.reserved_at = reservation.reserved_at
                 task.non_preemptible = reservation.non_preemptible
                 self._reservations.settle(machine, reservation)
             elif reservation.send_count and (reservation.is_revoked or reservation.send_count >= MAX_START_SENDS):
-                # A newer heartbeat without it: the response that carried it was dropped for good.
+                # This heartbeat is newer than the response that carried the start command, and still lacks the task:
+                # the worker will not execute that command any more.
                 self._reservations.drop(machine, reservation)
                 if not reservation.is_revoked:
                     self._health.mark_commands_lost(machine, self._effects.now())
--- a/tealhook/partitions/redirects.py
+++ b/tealhook/partitions/redirects.py
@@ -1,4 +1,4 @@
-"""Heartbeats of partitions that another node owns: workers are redirected there, or their heartbeats relayed."""
+"""Redirection and relaying of heartbeats whose partition is owned by another node."""
 
 from __future__ import annotations
 
@@ -13,33 +13,36 @@
 from tealhook.wire import workers as wire
 from tealhook.wire.common import encode_json, error_body
 
-MIN_TRACKED_MACHINES = 4096  # machines; beyond that those are forgotten of which nothing was noted for long
-TRACKED_LEASES = 4.0
-RELAY_LEASES = 4  # how long heartbeats are relayed before the worker is redirected once more
-MAX_RELAY_S = 2.0  # an owner that has not answered a relayed heartbeat by then can't be reached
+MIN_TRACKED_MACHINES = 4096  # a table of machines is cleaned of expired entries only above this size
+ENTRY_LIFETIME_LEASES = 4.0  # an entry of such a table expires after this many leases
+RELAY_LEASES = 4  # heartbeats are relayed for this many leases before the worker is redirected again
+MAX_RELAY_TIMEOUT_S = 2.0  # an owner that has not answered a relayed heartbeat by then counts as unreachable
 
 
 class Redirects:
-    """Redirects workers to the owners of their partitions, and relays their heartbeats when they can't get there."""
+    """Redirects workers to the owners of their partitions, and relays heartbeats of workers that cannot reach them."""
 
     def __init__(self, context: NodeContext, ownership: Ownership, mesh: Mesh) -> None:
-        """No worker has been redirected yet."""
+        """Start without any redirected or relayed workers; heartbeats are relayed over `mesh`."""
         self._effects = context.effects
         self._workers = context.workers
         self._ownership = ownership
         self._mesh = mesh
-        self._redirected_at: dict[str, float] = {}  # machine -> when it was last redirected to the owner
-        self._relayed_since: dict[str, float] = {}  # machine -> since when its heartbeats are relayed
-        self._cleanup_threshold = MIN_TRACKED_MACHINES  # before old entries of these are looked for
+        self._redirected_at: dict[str, float] = {}  # machine -> time of its last redirection
+        self._relayed_since: dict[str, float] = {}  # machine -> time from which its heartbeats have been relayed
+        self._cleanup_threshold = MIN_TRACKED_MACHINES  # table size above which expired entries are removed
 
     def forget(self, machine: str) -> None:
-        """The machine's heartbeats come to their owner, which is this node."""
+        """Forget the redirection of a machine whose heartbeats now reach their owner, which is this node."""
         self._redirected_at.pop(machine, None)
 
     def redirect(
         self, heartbeat: wire.Heartbeat, body: bytes, reply: Reply, owner: str | None, *, relayed: bool
     ) -> None:
-        """Answer a heartbeat that only `owner` may answer with 200; None: the owner is not known."""
+        """Redirect a heartbeat to the partition's owner or relay it there; refuse it if the owner is unknown (None).
+
+        A heartbeat that another node has relayed (`relayed`) is not relayed again.
+        """
         if owner is None:
             reply(503, error_body("owner unknown"))
             return
@@ -51,15 +54,15 @@
             self._relay(heartbeat.machine, body, reply, owner, now)
             return
         self._relayed_since.pop(heartbeat.machine, None)
-        self._forget_old(self._redirected_at, now)
+        self._remove_expired(self._redirected_at, now)
         self._redirected_at[heartbeat.machine] = now
-        self._send_to(owner, reply)
+        self._reply_with_owner(owner, reply)
 
     def _cannot_reach_owner(self, heartbeat: wire.Heartbeat, now: float) -> bool:
-        """Whether a worker seems to be unable to reach the owner.
+        """Check whether a worker seems unable to reach the owner, which this node may still reach.
 
-        It has the owner's token, or was redirected there and is back: it can't reach the owner, but perhaps we
-        can. Now and then it is redirected all the same, to find out whether it can again.
+        It seems so if the worker has the owner's token, or was redirected to the owner lately and came back. It is
+        redirected again from time to time, since it may be able to reach the owner by then.
         """
         lease_s = self._workers.lease_s
         redirected_at = self._redirected_at.get(heartbeat.machine, LONG_AGO_S)
@@ -69,7 +72,8 @@
         return has_tried and now - relayed_since < RELAY_LEASES * lease_s
 
     def _relay(self, machine: str, body: bytes, reply: Reply, owner: str, now: float) -> None:
-        self._forget_old(self._relayed_since, now)
+        """Pass a heartbeat on to its owner and the owner's answer back; redirect the worker if none comes."""
+        self._remove_expired(self._relayed_since, now)
         self._relayed_since.setdefault(machine, now)
 
         def on_answer(answer: Any) -> None:
@@ -77,20 +81,20 @@
                 reply(answer.status, answer.body)
             else:
                 self._relayed_since.pop(machine, None)
-                self._send_to(owner, reply)
+                self._reply_with_owner(owner, reply)
 
-        timeout_s = min(MAX_RELAY_S, self._workers.lease_s / 6)
+        timeout_s = min(MAX_RELAY_TIMEOUT_S, self._workers.lease_s / 6)
         self._mesh.call(owner, mesh_wire.RelayRequest(body), timeout_s, on_answer)
 
     @staticmethod
-    def _send_to(owner: str, reply: Reply) -> None:
+    def _reply_with_owner(owner: str, reply: Reply) -> None:
         reply(421, encode_json(wire.Redirection(owner)))
 
-    def _forget_old(self, times: dict[str, float], now: float) -> None:
-        """Drop what is too old to matter from a table of machines, once it has doubled since the last time."""
+    def _remove_expired(self, times: dict[str, float], now: float) -> None:
+        """Remove expired entries from a table of machines that has doubled in size since the last cleanup."""
         if len(times) <= self._cleanup_threshold:
             return
-        since = now - TRACKED_LEASES * self._workers.lease_s
-        for name in [name for name, at in times.items() if at < since]:
+        cutoff = now - ENTRY_LIFETIME_LEASES * self._workers.lease_s
+        for name in [name for name, at in times.items() if at < cutoff]:
             del times[name]
         self._cleanup_threshold = max(MIN_TRACKED_MACHINES, 2 * len(times))
--- a/tealhook/partitions/released_machines.py
+++ b/tealhook/partitions/released_machines.py
@@ -1,4 +1,4 @@
-"""The machines that were released lately: a late copy of a heartbeat must not bring one back to life."""
+"""A record of recently released machines, which a delayed duplicate of a heartbeat must not add again."""
 
 from __future__ import annotations
 
@@ -6,31 +6,31 @@
 
 from tealhook.context import NodeContext
 
-MIN_REMEMBERED_MACHINES = 20_000  # machines remembered, as long as a copy of a heartbeat may be late in any case
-RETENTION_LEASES = 20.0  # beyond that number, one is forgotten after so many leases
+MIN_REMEMBERED_MACHINES = 20_000  # this many are remembered however long ago they were released
+RETENTION_LEASES = 20.0  # above that number, a machine is forgotten this many leases after its release
 
 
 class ReleasedMachines:
-    """Remembers released machines, the earliest first."""
+    """Released machines, ordered by the time of their release."""
 
     def __init__(self, context: NodeContext) -> None:
-        """None is remembered yet."""
+        """Start without any released machines."""
         self._effects = context.effects
         self._workers = context.workers
-        self._released_at: OrderedDict[str, float] = OrderedDict()  # machine -> when we heard of it
+        self._released_at: OrderedDict[str, float] = OrderedDict()  # machine -> when its release became known here
 
     def __contains__(self, machine: str) -> bool:
-        """Whether a machine is known to be released."""
+        """Check whether a machine is known to be released."""
         return machine in self._released_at
 
     def __len__(self) -> int:
-        """How many are remembered."""
+        """Return the number of remembered machines."""
         return len(self._released_at)
 
     def add(self, machine: str) -> None:
-        """Remember a released machine, and forget those that were released long ago."""
+        """Remember a released machine, and forget those whose retention time is over."""
         now = self._effects.now()
         self._released_at.setdefault(machine, now)
-        since = now - RETENTION_LEASES * self._workers.lease_s
-        while len(self._released_at) > MIN_REMEMBERED_MACHINES and next(iter(self._released_at.values())) < since:
+        cutoff = now - RETENTION_LEASES * self._workers.lease_s
+        while len(self._released_at) > MIN_REMEMBERED_MACHINES and next(iter(self._released_at.values())) < cutoff:
             self._released_at.popitem(last=False)
--- a/tealhook/partitions/status_updates.py
+++ b/tealhook/partitions/status_updates.py
@@ -1,4 +1,4 @@
-"""Status updates of a partition's machines for the teams' schedulers: unasked, and when they reconcile."""
+"""Status updates about a partition's machines, sent to the teams' schedulers on changes and on reconciliation."""
 
 from __future__ import annotations
 
@@ -10,17 +10,17 @@
 from tealhook.wire import mesh
 from tealhook.wire import workers as wire
 
-MAX_SILENT_SHARE = 0.25  # of a partition's machines: if more are silent, it is the network rather than the machines
-REPEAT_PERIODS = 2  # heartbeat periods after which exits that are not settled are published again
-SILENT_PERIODS = 2  # heartbeat periods after which a machine counts as silent
-NEVER_HEARD_S = -1.0  # in a reconcile reply: no heartbeat under this token has come from the machine
+MAX_SILENT_SHARE = 0.25  # share of a partition's machines; if more are silent, the network is the likely cause
+REPUBLISH_PERIODS = 2  # heartbeat periods after which unsettled exits are published again
+SILENT_PERIODS = 2  # heartbeat periods without a heartbeat after which a machine counts as silent
+NO_HEARTBEAT_S = -1.0  # stands in a reconcile reply for a machine that has sent no heartbeat under this token
 
 
 class StatusUpdates:
-    """Numbers and publishes status updates: one with a higher number was sent later.
+    """Publishes status updates, with sequence numbers that increase in the order of sending.
 
-    A team's scheduler takes what an update lacks for a proof that it is not on the machine. So none goes out that may
-    lack a task, and replies to launch and reconcile requests are numbered together with them.
+    A team's scheduler takes a task that is missing from an update as proved absent from the machine. An update that may
+    be incomplete is therefore not sent, and replies to launch and reconcile requests share the sequence numbers.
     """
 
     def __init__(
@@ -30,7 +30,7 @@
         launched_jobs: LaunchedJobs,
         observer: PartitionObserver,
     ) -> None:
-        """Updates go to `observer`, which also hears of jobs that nobody here knows."""
+        """Send updates to `observer`, and report jobs to it that are unknown on this node."""
         self._effects = state.context.effects
         self._workers = state.context.workers
         self._state = state
@@ -41,36 +41,38 @@
         self._sequence = 0
 
     def next_sequence(self) -> int:
-        """The number of the next update or reply."""
+        """Return the sequence number of the next update or reply."""
         self._sequence += 1
         return self._sequence
 
-    def publish(self, machine: Machine, now: float, force: str | None = None) -> None:
-        """Send each team's scheduler what is on a machine when that changed, or while it has exits to settle.
+    def publish(self, machine: Machine, now: float, forced_team: str | None = None) -> None:
+        """Send each team's scheduler its tasks on a machine if they have changed or have unsettled exits.
 
-        `force`: a team whose scheduler gets an update in any case.
+        The scheduler of `forced_team` gets an update in any case.
         """
-        # Exits not settled are published again, but not with every heartbeat: a scheduler makes their outcome durable
-        # first.
-        repeat_s = REPEAT_PERIODS * self._workers.report_s
+        # Unsettled exits are not published again with each heartbeat, since the scheduler needs time to make their
+        # outcome durable.
+        repeat_s = REPUBLISH_PERIODS * self._workers.report_s
         is_repeat_due = machine.has_unsettled_exits and now - machine.last_published_at >= repeat_s
-        if not machine.is_reconciled or not (machine.has_unpublished_changes or is_repeat_due or force):
+        if not machine.is_reconciled or not (machine.has_unpublished_changes or is_repeat_due or forced_team):
             return
-        tasks_by_team = self._tasks_by_team(machine)
+        tasks_by_team = self._collect_tasks_by_team(machine)
         if tasks_by_team is None:
             return
         machine.has_unpublished_changes = False
         machine.last_published_at = now
-        for team in sorted(tasks_by_team.keys() | machine.published_statuses.keys() | ({force} if force else set())):
+        for team in sorted(
+            tasks_by_team.keys() | machine.published_statuses.keys() | ({forced_team} if forced_team else set())
+        ):
             observed = tasks_by_team.get(team, [])
             content = (machine.session, tuple((task.job, task.index, task.attempt, task.status) for task in observed))
-            last = machine.published_statuses.get(team)
+            last_status = machine.published_statuses.get(team)
             has_unsettled_exits = any(task.status == wire.TaskStatus.EXITED for task in observed)
             if (
-                last is not None
-                and last.content == content
-                and team != force
-                and not (has_unsettled_exits and now - last.published_at >= repeat_s)
+                last_status is not None
+                and last_status.content == content
+                and team != forced_team
+                and not (has_unsettled_exits and now - last_status.published_at >= repeat_s)
             ):
                 continue
             sequence = self.next_sequence()
@@ -89,17 +91,17 @@
                 ),
             )
 
-    def _tasks_by_team(self, machine: Machine) -> dict[str, list[mesh.ObservedTask]] | None:
-        """What is on a machine, by team; None while nobody here knows whose some task is.
+    def _collect_tasks_by_team(self, machine: Machine) -> dict[str, list[mesh.ObservedTask]] | None:
+        """Return the tasks and launches on a machine by team, or None if the team of some task is unknown here.
 
-        An update without that task would pass for a proof of its absence.
+        An update without that task would wrongly prove its absence.
         """
         teams: dict[str, list[mesh.ObservedTask]] = {}
-        unknown = None
+        unknown_job = None
         for task in machine.tasks.values():
             team = self._launched_jobs.team_of(task.job)
             if team is None:
-                unknown = task.job
+                unknown_job = task.job
                 continue
             teams.setdefault(team, []).append(
                 mesh.ObservedTask(task.job, task.index, task.attempt, task.status, task.cause)
@@ -109,20 +111,20 @@
                 teams.setdefault(reservation.team, []).append(
                     mesh.ObservedTask(reservation.job, reservation.index, reservation.attempt, mesh.LAUNCHING)
                 )
-        if unknown is not None:
-            self._observer.on_unknown_job(unknown)
+        if unknown_job is not None:
+            self._observer.on_unknown_job(unknown_job)
             return None
         return teams
 
     def reconcile(self, request: mesh.ReconcileRequest) -> mesh.ReconcileReply:
-        """Answer a team's scheduler; from here on, launches by earlier schedulers of that team are refused."""
+        """Answer a reconcile request, and refuse launches by earlier schedulers of the team from now on."""
         now = self._effects.now()
         self._reservations.accept_team_token(request.team, request.team_token)
         silent_s = []
         for name in request.machines:
             machine = self._machines.get(name)
             if machine is None or not machine.is_reconciled:
-                silent_s.append(NEVER_HEARD_S)
+                silent_s.append(NO_HEARTBEAT_S)
             else:
                 silent_s.append(now - machine.last_heartbeat_at)
         unknown_count = sum(name not in self._machines for name in request.machines)
@@ -135,16 +137,17 @@
         )
 
     def publish_requested(self, request: mesh.ReconcileRequest) -> None:
-        """Publish the machines of a reconcile request; to be sent after the reply, whose number they must exceed.
+        """Publish the machines of a reconcile request whose latest update the scheduler lacks.
 
-        Only those whose last update the scheduler lacks: sending all of them anew, to each scheduler, grows with teams
-        times machines, and was half of all status updates of a fleet of 660.
+        The caller sends the reply first, since the sequence numbers of these updates must exceed that of the reply.
+        Sending all machines again to each scheduler would grow with the number of teams times that of machines; it
+        amounted to half of all status updates in a fleet of 660 machines.
         """
         now = self._effects.now()
         for name, known_sequence in zip(request.machines, request.known_sequences, strict=False):
             machine = self._machines.get(name)
             if machine is None:
                 continue
-            last = machine.published_statuses.get(request.team)
-            if not known_sequence or last is None or last.sequence != known_sequence:
-                self.publish(machine, now, force=request.team)
+            last_status = machine.published_statuses.get(request.team)
+            if not known_sequence or last_status is None or last_status.sequence != known_sequence:
+                self.publish(machine, now, forced_team=request.team)
--- a/tealhook/partitions/termination.py
+++ b/tealhook/partitions/termination.py
@@ -1,4 +1,4 @@
-"""Machines that the cloud is about to take: what can't end before is stopped early."""
+"""Eviction of tasks from machines that the cloud is about to terminate."""
 
 from __future__ import annotations
 
@@ -8,9 +8,10 @@
 
 
 def evict_tasks(machine: Machine, job_index: JobIndex, reservations: Reservations, notice_s: float, now: float) -> None:
-    """Stop what can't end before the cloud takes the machine: elsewhere it begins anew that much sooner.
+    """Stop the tasks that cannot finish before their machine is terminated, so that they restart elsewhere sooner.
 
-    Left alone it would be lost when the machine goes, and known to be lost only after that has been noticed.
+    A task left running would be lost with the machine, and restarted only after the loss had been detected. Launches
+    whose start command has not been sent are cancelled for the same reason.
     """
     for key, task in machine.tasks.items():
         entry = job_index.active.get(task.job)
@@ -18,7 +19,7 @@
             continue
         spec = entry.spec
         if (task.running_since or now) + spec.estimated_run_s <= now + notice_s:
-            continue  # it may well end in time; so may one that is past its estimate
+            continue  # it may finish in time, even if it has already run longer than estimated
         has_time_for_checkpoint = spec.checkpoint_interval_s > 0 and spec.checkpoint_s < notice_s
         machine.pending_stops[key] = spec.checkpoint_s if has_time_for_checkpoint else 0.0
     for reservation in machine.list_reservations():
