--- a/tealhook/admission/submission_records.py
+++ b/tealhook/admission/submission_records.py
@@ -7,7 +7,7 @@
 import msgspec
 
 from tealhook.jobs.job_records import JobRecord, JobState, job_key
-from tealhook.scheduling.job_writes import TXN_BYTES
+from tealhook.scheduling.job_writes import MAX_TRANSACTION_BYTES
 from tealhook.state_store import StateClient
 from tealhook.wire.common import encode_json
 from tealhook.wire.users import JobSpec
@@ -72,6 +72,6 @@
     sizes = [len(encode_json(write.value)) for write in submission.writes]
     if max(sizes) > store.value_bytes:
         return f"too large to be kept: at most {store.value_bytes / 1024:g} KiB without waits_on"
-    if len(sizes) > store.max_operations or sum(sizes) > TXN_BYTES:
+    if len(sizes) > store.max_operations or sum(sizes) > MAX_TRANSACTION_BYTES:
         return "too large to be kept: waits_on names too many jobs"
     return None
--- a/tealhook/fleet/machine_types.py
+++ b/tealhook/fleet/machine_types.py
@@ -29,7 +29,7 @@
 import msgspec
 
 from tealhook.coordination import FLEET_KEY
-from tealhook.scheduling.job_writes import TXN_BYTES
+from tealhook.scheduling.job_writes import MAX_TRANSACTION_BYTES
 from tealhook.state_store import CallPriority, Outcome, StateClient, TransactionResult
 from tealhook.wire import state as state_wire
 from tealhook.wire.cloud import MachineType
@@ -187,7 +187,7 @@
     size = count = 0
     while count < min(most, len(changes)):
         size += len(encode_json(changes[count].operation))
-        if count and size > TXN_BYTES:
+        if count and size > MAX_TRANSACTION_BYTES:
             break
         count += 1
     return changes[:count], changes[count:]
--- a/tealhook/scheduling/attempts.py
+++ b/tealhook/scheduling/attempts.py
@@ -15,9 +15,9 @@
 from tealhook.jobs.team import TeamState
 from tealhook.placement import Feedback, PlacementEstimate
 from tealhook.scheduling.attempt_index import AttemptIndex, TaskKey
-from tealhook.scheduling.commits import Commits
 from tealhook.scheduling.failure_backoff import FailureBackoff
 from tealhook.scheduling.job_cleanup import JobCleanup
+from tealhook.scheduling.job_committer import JobCommitter
 from tealhook.scheduling.stop_commands import AT_ONCE, StopCommands
 from tealhook.wire import mesh as wire
 from tealhook.wire.workers import ExitCause, TaskStatus
@@ -36,7 +36,7 @@
         teams: dict[str, TeamState],
         index: AttemptIndex,
         stop_commands: StopCommands,
-        commits: Commits,
+        commits: JobCommitter,
         job_cleanup: JobCleanup,
         wake_scheduler: Callable[[], Any],
     ) -> None:
@@ -149,7 +149,7 @@
         job.mark_done(attempt.index)
         job.failures = 0
         job.to_forget.append(FinishedTask(attempt.zone, attempt.machine, attempt.index, attempt.number))
-        self._commits.mark_deferrable(job, now)
+        self._commits.mark_deferrable_change(job, now)
         if job.finished:
             self._commits.schedule_commit()
         self._wake_scheduler()
@@ -188,7 +188,7 @@
             current = job.attempts.get(observed.index)
             if current is not None:
                 stops.append(wire.TaskStop(current.machine, job.id, current.index, current.number, AT_ONCE))
-            self._commits.mark_deferrable(job, self._effects.now())
+            self._commits.mark_deferrable_change(job, self._effects.now())
         job.to_forget.append(FinishedTask(update.zone, update.machine, observed.index, observed.attempt))
         self._commits.schedule_commit()
 
@@ -198,7 +198,7 @@
         """An attempt is certainly not on its machine, and how it ended is not known: its task waits again."""
         now = self._effects.now()
         self._remove(team_state, job, attempt)
-        self._commits.mark_deferrable(job, now)
+        self._commits.mark_deferrable_change(job, now)
         if job.spec is not None:
             self._reschedule(team_state, job, attempt, now)
         self._job_cleanup.remove_if_unassigned(team_state, job)
@@ -217,7 +217,7 @@
         del job.attempts[attempt.index]
         job.dirty_chunks.add(attempt.chunk)
         self._index.remove(team_state, job, attempt)
-        self._commits.proved_off.setdefault(job.id, set()).add((attempt.index, attempt.number))
+        self._commits.proved_absent.setdefault(job.id, set()).add((attempt.index, attempt.number))
 
     def _reschedule(self, team_state: TeamState, job: Job, attempt: Attempt, now: float) -> None:
         """The task of an ended attempt waits again.
--- a/tealhook/scheduling/candidates.py
+++ b/tealhook/scheduling/candidates.py
@@ -13,7 +13,7 @@
     CPUS,
     GPUS,
     NOTHING_RESERVED,
-    ROUNDING,
+    ROUNDING_TOLERANCE,
     remaining_limit,
     reserved_for_overdue,
     tasks_within_limit,
@@ -106,7 +106,7 @@
         return int(SIZE_STEPS * math.log2(1.0 + work))
 
 
-class CandidateSelection:
+class CandidateSelector:
     """Chooses the candidates of a cycle from the jobs of the teams that this node owns."""
 
     def __init__(self, context: NodeContext, teams: dict[str, TeamState], job_index: JobIndex) -> None:
@@ -153,7 +153,7 @@
             # The guarantee is for teams whose unfinished jobs fit into it whole. Counting only what is left of
             # them would let nearly every job preempt others' tasks once most of it is done.
             total_vcpus = spec.vcpus * job.task_count
-            within_guarantee = team.guarantee > 0 and total_vcpus <= guarantee_left + ROUNDING
+            within_guarantee = team.guarantee > 0 and total_vcpus <= guarantee_left + ROUNDING_TOLERANCE
             guarantee_left -= total_vcpus
             if job.waiting_count() <= 0 or not self._may_be_placed(job, now):
                 continue
--- a/tealhook/scheduling/commit_batch.py
+++ b/tealhook/scheduling/commit_batch.py
@@ -5,7 +5,7 @@
 from typing import NamedTuple
 
 from tealhook.jobs.job import WriteState
-from tealhook.scheduling.job_writes import TXN_BYTES, JobWrite
+from tealhook.scheduling.job_writes import MAX_TRANSACTION_BYTES, JobWrite
 from tealhook.wire import state as state_wire
 
 
@@ -43,7 +43,7 @@
         return (
             len(self.operations) + len(write.operations) > self._limits.max_operations
             or len(self.conditions) + len(write.conditions) > self._limits.max_conditions
-            or total_bytes > TXN_BYTES
+            or total_bytes > MAX_TRANSACTION_BYTES
             or len(self.writes) >= self._limits.max_jobs
         )
 
--- a/tealhook/scheduling/commit_outcomes.py
+++ b/tealhook/scheduling/commit_outcomes.py
@@ -13,7 +13,7 @@
 from tealhook.jobs.job_records import JobState, job_key
 from tealhook.jobs.record_store import JobRecordStore
 from tealhook.jobs.team import TeamState
-from tealhook.scheduling.interfaces import AttemptObserver, JobAttempt
+from tealhook.scheduling.interfaces import JobAttempt, SchedulerActions
 from tealhook.scheduling.job_writes import MAX_HALVINGS, JobWrite, WriteKind
 from tealhook.scheduling.read_back import RecordReadBack
 
@@ -23,7 +23,7 @@
 MAX_BACKOFF_S = 60.0  # between tries of a write that is rejected however small it is
 
 
-class Launches:
+class PendingLaunches:
     """Attempts to be launched once all jobs of a transaction have been looked at, by team and zone."""
 
     def __init__(self) -> None:
@@ -34,7 +34,7 @@
         """An attempt is on record."""
         self._by_place.setdefault((team, attempt.zone), []).append((job, attempt))
 
-    def launch_all(self, teams: dict[str, TeamState], observer: AttemptObserver) -> None:
+    def launch_all(self, teams: dict[str, TeamState], observer: SchedulerActions) -> None:
         """Launch them, one call for each team and zone."""
         for (team, zone), attempts in self._by_place.items():
             observer.launch(teams[team], zone, attempts)
@@ -48,22 +48,22 @@
         context: NodeContext,
         job_index: JobIndex,
         records: JobRecordStore,
-        proved_off: dict[str, set[tuple[int, int]]],
-        observer: AttemptObserver,
+        proved_absent: dict[str, set[tuple[int, int]]],
+        observer: SchedulerActions,
         read_back: RecordReadBack,
     ) -> None:
-        """`proved_off`: of each job the attempts that are gone, until that is durable; `observer` is told of jobs."""
+        """`proved_absent`: of each job the attempts that are gone, until that is durable."""
         self._effects = context.effects
         self._workers = context.workers
         self._job_index = job_index
         self._records = records
-        self._proved_off = proved_off
+        self._proved_absent = proved_absent
         self._observer = observer
         self._read_back = read_back
 
     # -- executed
 
-    def apply_executed(self, write: JobWrite, revision: int, launches: Launches) -> None:
+    def apply_executed(self, write: JobWrite, revision: int, launches: PendingLaunches) -> None:
         """A write is durable, as of `revision`."""
         job = write.job
         self._forget_rejections(job)
@@ -73,7 +73,7 @@
         if write.kind is WriteKind.FINISH:
             self._apply_finish(write.team_state, job, revision)
         elif write.kind is WriteKind.DELETE:
-            self._observer.end_if_unassigned(write.team_state, job)
+            self._observer.remove_if_unassigned(write.team_state, job)
         else:
             self._apply_assignment(write, launches)
 
@@ -102,9 +102,9 @@
         if job.attempts:
             self._observer.stop_all(team_state, job)
         else:
-            self._observer.end_if_unassigned(team_state, job)
+            self._observer.remove_if_unassigned(team_state, job)
 
-    def _apply_assignment(self, write: JobWrite, launches: Launches) -> None:
+    def _apply_assignment(self, write: JobWrite, launches: PendingLaunches) -> None:
         """A job's assignments are durable: what was staged may be launched."""
         team_state, job = write.team_state, write.job
         job.move_attempts(write.moved_attempts, write.written_chunks)
@@ -113,7 +113,7 @@
         written = {attempt.index for attempt in write.staged}
         job.has_deferrable_change = bool(job.dirty_chunks or job.staged.keys() - written)
         if not job.dirty_chunks:
-            self._proved_off.pop(job.id, None)
+            self._proved_absent.pop(job.id, None)
         for attempt in write.staged:
             if job.staged.get(attempt.index) is not attempt:
                 continue
--- a/tealhook/scheduling/cycle.py
+++ b/tealhook/scheduling/cycle.py
@@ -11,7 +11,7 @@
 from tealhook.jobs.index import JobIndex
 from tealhook.jobs.team import TeamState
 from tealhook.mesh import Mesh
-from tealhook.scheduling.candidates import Candidate, CandidateSelection
+from tealhook.scheduling.candidates import Candidate, CandidateSelector
 from tealhook.scheduling.interfaces import CommitQueue
 from tealhook.scheduling.planning import Inquiry, PlacementPlanner, PlannedReservation
 from tealhook.scheduling.staging import AttemptStaging
@@ -57,9 +57,9 @@
         self._mesh = mesh
         self._commit_queue = commit_queue
         self._report_s = context.workers.report_s
-        self.selection = CandidateSelection(context, teams, job_index)
-        self._planner = PlacementPlanner(store, teams, self.selection)
-        self._staging = AttemptStaging(teams, self.selection)
+        self.selector = CandidateSelector(context, teams, job_index)
+        self._planner = PlacementPlanner(store, teams, self.selector)
+        self._staging = AttemptStaging(teams, self.selector)
         self._is_running = False
         self._pause_s = self._report_s * SHORT_PAUSE_SHARE
         self._schedule_next()
@@ -82,7 +82,7 @@
     def _run(self) -> None:
         if self._is_running:
             return
-        candidates = self.selection.select(self._effects.now()) if self._may_place() else []
+        candidates = self.selector.select(self._effects.now()) if self._may_place() else []
         owners = self._partition_owners()
         if not candidates or not owners:
             self._lengthen_pause(MAX_IDLE_PAUSE_SHARE)
@@ -145,7 +145,7 @@
             starving=awaits_capacity and candidate.starving,
             avoided_machines=candidate.job.avoided_machines,
             team_token=candidate.team.token,
-            may_preempt=awaits_capacity and self.selection.may_preempt(candidate, self._effects.now()),
+            may_preempt=awaits_capacity and self.selector.may_preempt(candidate, self._effects.now()),
             non_preemptible=candidate.overdue,
         )
 
--- a/tealhook/scheduling/demand.py
+++ b/tealhook/scheduling/demand.py
@@ -8,7 +8,7 @@
 from tealhook.jobs.index import JobIndex
 from tealhook.jobs.job import Job
 from tealhook.jobs.team import TeamState
-from tealhook.scheduling.candidates import ROUNDING
+from tealhook.scheduling.team_limits import ROUNDING_TOLERANCE
 from tealhook.wire import mesh as wire
 from tealhook.wire.users import STANDARD_RANK
 
@@ -100,7 +100,7 @@
     def take(self, count: int, cpus: float) -> int:
         """Of `count` tasks of so many CPUs each, how many fit; what they use is taken."""
         if cpus > 0:
-            count = min(count, int((self._cpus + ROUNDING) / cpus))
+            count = min(count, int((self._cpus + ROUNDING_TOLERANCE) / cpus))
             self._cpus -= count * cpus
         return count
 
--- a/tealhook/scheduling/interfaces.py
+++ b/tealhook/scheduling/interfaces.py
@@ -11,7 +11,7 @@
 JobAttempt = tuple[str, Attempt]  # the job's id and an attempt of it
 
 
-class AttemptObserver(Protocol):
+class SchedulerActions(Protocol):
     """What becomes of jobs once something of them is durable, or certainly is not."""
 
     def index_attempt(self, team_state: TeamState, job: Job, attempt: Attempt) -> None:
@@ -26,7 +26,7 @@
     def forget_finished(self, team_state: TeamState, job: Job) -> None:
         """Have workers forget tasks whose outcome is on record."""
 
-    def end_if_unassigned(self, team_state: TeamState, job: Job) -> None:
+    def remove_if_unassigned(self, team_state: TeamState, job: Job) -> None:
         """Drop a terminal job once none of its tasks may be on a machine."""
 
     def reconcile(self, team_state: TeamState) -> None:
--- a/tealhook/scheduling/job_cleanup.py
+++ b/tealhook/scheduling/job_cleanup.py
@@ -5,14 +5,14 @@
 from tealhook.jobs.job import Job, WriteState
 from tealhook.jobs.team import TeamState
 from tealhook.scheduling.attempt_index import AttemptIndex
-from tealhook.scheduling.commits import Commits
+from tealhook.scheduling.job_committer import JobCommitter
 from tealhook.scheduling.stop_commands import StopCommands
 
 
 class JobCleanup:
     """Removes jobs that have ended from the teams that this node owns."""
 
-    def __init__(self, index: AttemptIndex, stop_commands: StopCommands, commits: Commits) -> None:
+    def __init__(self, index: AttemptIndex, stop_commands: StopCommands, commits: JobCommitter) -> None:
         """`commits` deletes the assignment records of a job before the job itself is removed."""
         self._index = index
         self._stop_commands = stop_commands
@@ -31,4 +31,4 @@
             self._index.remove(team_state, job, attempt)
         self._stop_commands.forget_finished(team_state, job)
         team_state.jobs.pop(job.id, None)
-        self._commits.proved_off.pop(job.id, None)
+        self._commits.proved_absent.pop(job.id, None)
--- a/tealhook/scheduling/commits.py
+++ b/tealhook/scheduling/job_committer.py
@@ -15,8 +15,8 @@
 from tealhook.jobs.team import TeamState
 from tealhook.loop.effects import Cancellable
 from tealhook.scheduling.commit_batch import BatchLimits, CommitBatch
-from tealhook.scheduling.commit_outcomes import CommitOutcomes, Launches
-from tealhook.scheduling.interfaces import AttemptObserver
+from tealhook.scheduling.commit_outcomes import CommitOutcomes, PendingLaunches
+from tealhook.scheduling.interfaces import SchedulerActions
 from tealhook.scheduling.job_writes import CONDITIONS_PER_OPERATION, JobWrite, JobWriteBuilder
 from tealhook.scheduling.read_back import RecordReadBack
 from tealhook.state_store import CallPriority, Outcome, StateClient
@@ -43,7 +43,7 @@
     deferrable: list[PendingJob]
 
 
-class Commits:
+class JobCommitter:
     """The writes of all teams that this node owns."""
 
     def __init__(
@@ -52,7 +52,7 @@
         store: StateClient,
         job_index: JobIndex,
         teams: dict[str, TeamState],
-        observer: AttemptObserver,
+        observer: SchedulerActions,
     ) -> None:
         """Writes of the jobs in `teams`; `observer` is told what came of them."""
         self._effects = context.effects
@@ -60,17 +60,17 @@
         self._store = store
         self._teams = teams
         self._observer = observer
-        self.proved_off: dict[str, set[tuple[int, int]]] = {}  # job -> attempts proved off, until durable
+        self.proved_absent: dict[str, set[tuple[int, int]]] = {}  # job -> attempts proved off, until durable
         records = JobRecordStore(context, store, job_index)
-        read_back = RecordReadBack(context, store, records, teams, self.proved_off, observer, self)
-        self._outcomes = CommitOutcomes(context, job_index, records, self.proved_off, observer, read_back)
+        read_back = RecordReadBack(context, store, records, teams, self.proved_absent, observer, self)
+        self._outcomes = CommitOutcomes(context, job_index, records, self.proved_absent, observer, read_back)
         self._write_builder = JobWriteBuilder(context, store, records)
         self.is_backlogged = False  # staged assignments wait for write tokens
         self._max_jobs = MAX_JOBS  # of one transaction; fewer after one was rejected
         self._timer: Cancellable | None = None
         self._due_at = 0.0
 
-    def mark_deferrable(self, job: Job, now: float) -> None:
+    def mark_deferrable_change(self, job: Job, now: float) -> None:
         """Something of a job changed that need not be durable at once: it goes with the next write, or by itself."""
         if not job.has_deferrable_change:
             job.has_deferrable_change = True
@@ -150,7 +150,7 @@
             batch.conditions,
             batch.operations,
             priority,
-            lambda result: self._committed(batch.writes, result.outcome, result.revision, result.failed_keys),
+            lambda result: self._on_result(batch.writes, result.outcome, result.revision, result.failed_keys),
         )
         if not all_added:
             self.schedule_commit()
@@ -163,9 +163,9 @@
                 return False
         return True
 
-    def _committed(self, batch: list[JobWrite], outcome: Outcome, revision: int, failed: list[str]) -> None:
+    def _on_result(self, batch: list[JobWrite], outcome: Outcome, revision: int, failed: list[str]) -> None:
         """The outcome of a transaction: what becomes of its jobs, and when the next one follows."""
-        launches = Launches()
+        launches = PendingLaunches()
         if outcome is Outcome.REJECTED:
             self._shrink_batches(batch)
         elif outcome is Outcome.COMMITTED:
--- a/tealhook/scheduling/job_writes.py
+++ b/tealhook/scheduling/job_writes.py
@@ -20,7 +20,7 @@
 from tealhook.wire import state as state_wire
 from tealhook.wire.common import encode_json
 
-TXN_BYTES = 56 * 1024  # of the 64 KiB that a transaction may have
+MAX_TRANSACTION_BYTES = 56 * 1024  # of the 64 KiB that a transaction may have
 MAX_HALVINGS = 2  # so often the write of a job is halved, once one was rejected
 CONDITIONS_PER_OPERATION = 4  # a transaction may have so many times as many conditions as operations
 CONDITION_BYTES = 60  # about what a condition takes of a transaction
@@ -152,8 +152,8 @@
 
     def _chunk_limits(self, job: Job) -> ChunkLimits:
         """Limits of one write of a job; they are halved, `MAX_HALVINGS` times at most, each time it is rejected."""
-        max_bytes = min(self._store.record_bytes, TXN_BYTES / 2)
-        max_chunks = min(self._store.max_operations, int(TXN_BYTES / max_bytes))
+        max_bytes = min(self._store.record_bytes, MAX_TRANSACTION_BYTES / 2)
+        max_chunks = min(self._store.max_operations, int(MAX_TRANSACTION_BYTES / max_bytes))
         if job.rejections:
             halvings = min(job.rejections, MAX_HALVINGS)
             return ChunkLimits(max_bytes / 2**halvings, max(2, max_chunks >> halvings))
--- a/tealhook/scheduling/planning.py
+++ b/tealhook/scheduling/planning.py
@@ -7,7 +7,7 @@
 
 from tealhook.jobs.team import TeamState
 from tealhook.placement import NEVER_S, Choice, Group, PartitionView, plan_cycle
-from tealhook.scheduling.candidates import Candidate, CandidateSelection
+from tealhook.scheduling.candidates import Candidate, CandidateSelector
 from tealhook.state_store import CallPriority, StateClient
 from tealhook.wire import mesh as wire
 from tealhook.wire.users import JobKind
@@ -61,7 +61,7 @@
 class PlacementPlanner:
     """Plans the reservations of a cycle from the partitions' replies."""
 
-    def __init__(self, store: StateClient, teams: dict[str, TeamState], selection: CandidateSelection) -> None:
+    def __init__(self, store: StateClient, teams: dict[str, TeamState], selection: CandidateSelector) -> None:
         """`selection` knows in which zones jobs may run, and which of them may preempt."""
         self._store = store
         self._teams = teams
--- a/tealhook/scheduling/read_back.py
+++ b/tealhook/scheduling/read_back.py
@@ -11,7 +11,7 @@
 from tealhook.jobs.job_records import JobRecord, JobState
 from tealhook.jobs.record_store import JobRecordStore
 from tealhook.jobs.team import TeamState
-from tealhook.scheduling.interfaces import AttemptObserver, CommitQueue
+from tealhook.scheduling.interfaces import CommitQueue, SchedulerActions
 from tealhook.state_store import ReadOutcome, StateClient
 from tealhook.wire import state as state_wire
 
@@ -31,16 +31,16 @@
         store: StateClient,
         records: JobRecordStore,
         teams: dict[str, TeamState],
-        proved_off: dict[str, set[tuple[int, int]]],
-        observer: AttemptObserver,
+        proved_absent: dict[str, set[tuple[int, int]]],
+        observer: SchedulerActions,
         commit_queue: CommitQueue,
     ) -> None:
-        """Jobs of `teams`; of their attempts on record, those in `proved_off` are certainly gone by now."""
+        """Jobs of `teams`; of their attempts on record, those in `proved_absent` are certainly gone by now."""
         self._effects = context.effects
         self._store = store
         self._records = records
         self._teams = teams
-        self._proved_off = proved_off
+        self._proved_absent = proved_absent
         self._observer = observer
         self._commit_queue = commit_queue
 
@@ -103,6 +103,6 @@
                 job.chunk_revisions[chunk] = row.mod_revision
                 continue
             try:
-                job.load(chunk, row.value, row.mod_revision, now, self._proved_off.get(job.id))
+                job.load(chunk, row.value, row.mod_revision, now, self._proved_absent.get(job.id))
             except CorruptRecordError as exc:
                 log.error("%s", exc)
--- a/tealhook/scheduling/staging.py
+++ b/tealhook/scheduling/staging.py
@@ -6,7 +6,7 @@
 from tealhook.jobs.job import Job, WriteState
 from tealhook.jobs.team import TeamState
 from tealhook.placement import PlacementEstimate
-from tealhook.scheduling.candidates import Candidate, CandidateSelection
+from tealhook.scheduling.candidates import Candidate, CandidateSelector
 from tealhook.scheduling.planning import PlannedReservation
 from tealhook.scheduling.team_limits import (
     GPUS,
@@ -22,7 +22,7 @@
 class AttemptStaging:
     """Turns granted reservations into staged attempts."""
 
-    def __init__(self, teams: dict[str, TeamState], selection: CandidateSelection) -> None:
+    def __init__(self, teams: dict[str, TeamState], selection: CandidateSelector) -> None:
         """`selection` knows in which zones jobs may run."""
         self._teams = teams
         self._selection = selection
--- a/tealhook/scheduling/team_limits.py
+++ b/tealhook/scheduling/team_limits.py
@@ -8,7 +8,7 @@
 from tealhook.jobs.team import TeamState
 
 NO_LIMIT = 1e9  # what is left where nothing is limited: more than any task needs
-ROUNDING = 1e-6  # sums of requested resources are compared with this much slack
+ROUNDING_TOLERANCE = 1e-6  # sums of requested resources are compared with this much slack
 CPUS, GPUS = 0, 1  # positions of what a limit counts in the resources of a task, and in `TeamState.allocated`
 
 
@@ -43,8 +43,8 @@
     vcpus, gpus, _memory_gb = job.resources
     count = job.task_count
     if vcpus > 0:
-        count = int((remaining.vcpus - reserved.vcpus + ROUNDING) / vcpus)
+        count = int((remaining.vcpus - reserved.vcpus + ROUNDING_TOLERANCE) / vcpus)
     if gpus > 0:
-        by_gpus = int((remaining.gpus - reserved.gpus + ROUNDING) / gpus)
+        by_gpus = int((remaining.gpus - reserved.gpus + ROUNDING_TOLERANCE) / gpus)
         count = min(count, by_gpus) if vcpus > 0 else by_gpus
     return count
--- a/tealhook/scheduling/team_scheduler.py
+++ b/tealhook/scheduling/team_scheduler.py
@@ -20,12 +20,12 @@
 from tealhook.mesh import Mesh
 from tealhook.scheduling.attempt_index import AttemptIndex
 from tealhook.scheduling.attempts import Attempts
-from tealhook.scheduling.commits import Commits
 from tealhook.scheduling.cycle import SchedulingCycle
 from tealhook.scheduling.demand import TeamDemand
 from tealhook.scheduling.dependencies import DependencyTracker
 from tealhook.scheduling.job_building import JobBuilder
 from tealhook.scheduling.job_cleanup import JobCleanup
+from tealhook.scheduling.job_committer import JobCommitter
 from tealhook.scheduling.launches import Launches
 from tealhook.scheduling.reconciliation import Reconciliation
 from tealhook.scheduling.stop_commands import StopCommands
@@ -41,8 +41,8 @@
 class TeamScheduler:
     """All teams that this node owns.
 
-    It builds the components that schedule them and connects them. For `Commits` it is the `AttemptObserver`: it passes
-    on to them what became durable.
+    It builds the components that schedule them and connects them. For `JobCommitter` it is the `SchedulerActions`: it
+    passes on to them what became durable.
     """
 
     def __init__(
@@ -54,9 +54,9 @@
         self._workers = context.workers
         self._team_settings = {team.name: team for team in context.settings.params.teams}
         self.teams: dict[str, TeamState] = {}
-        # Commits and attempts need each other: `Commits` calls its observer from timers and replies alone, hence never
-        # before all that follows is built.
-        self.commits = Commits(context, store, job_index, self.teams, self)
+        # `JobCommitter` and `Attempts` need each other: `JobCommitter` calls its actions from timers and replies alone,
+        # hence never before all that follows is built.
+        self.commits = JobCommitter(context, store, job_index, self.teams, self)
         self.cycle = SchedulingCycle(
             context,
             ownership,
@@ -168,7 +168,7 @@
         """The fleet's owner reports that the cloud has taken these machines, with all that was on them."""
         self._attempts.on_machines_released(machines)
 
-    # -- outcomes of commits, as `AttemptObserver`
+    # -- outcomes of commits, as `SchedulerActions`
 
     def index_attempt(self, team_state: TeamState, job: Job, attempt: Attempt) -> None:
         """An attempt is on record: from now on it may be on its machine."""
@@ -186,7 +186,7 @@
         """Have workers forget tasks whose outcome is on record."""
         self._stop_commands.forget_finished(team_state, job)
 
-    def end_if_unassigned(self, team_state: TeamState, job: Job) -> None:
+    def remove_if_unassigned(self, team_state: TeamState, job: Job) -> None:
         """Remove a job that is over once none of its tasks may be on a machine."""
         self._job_cleanup.remove_if_unassigned(team_state, job)
 
--- a/tests/test_failing_jobs.py
+++ b/tests/test_failing_jobs.py
@@ -70,7 +70,7 @@
     for _ in range(60):
         world.run(1.0)
         for node in world.nodes.values():
-            selection, now = node.team_scheduler.cycle.selection, node.context.effects.now() + 1000.0
+            selection, now = node.team_scheduler.cycle.selector, node.context.effects.now() + 1000.0
             for candidate in selection.select(now):
                 seen.add(candidate.job.id)
                 assert not (candidate.overdue or selection.may_preempt(candidate, now))
--- a/tests/test_guards.py
+++ b/tests/test_guards.py
@@ -8,8 +8,8 @@
 from tealhook.partitions.partition import Partition
 from tealhook.partitions.state import PartitionState
 from tealhook.scheduling.attempts import Attempts
-from tealhook.scheduling.candidates import CandidateSelection
-from tealhook.scheduling.commits import Commits
+from tealhook.scheduling.candidates import CandidateSelector
+from tealhook.scheduling.job_committer import JobCommitter
 from tealhook.scheduling.team_scheduler import TeamState
 from tealhook.state_store import Outcome, StateClient
 from tealhook.wire import mesh
@@ -28,12 +28,12 @@
 
 
 def _assume_uncertain_commits(patch):
-    whole = Commits._committed
+    whole = JobCommitter._on_result
 
     def guess(self, batch, outcome, epoch, failed):
         whole(self, batch, Outcome.COMMITTED if outcome is Outcome.UNKNOWN else outcome, epoch, failed)
 
-    patch.setattr(Commits, "_committed", guess)
+    patch.setattr(JobCommitter, "_on_result", guess)
 
 
 def _drop_conditions(prefix):
@@ -66,7 +66,7 @@
 
 
 def _ignore_zone_limits(patch):
-    patch.setattr(CandidateSelection, "zone_limits", lambda self, job, spec, zones: {})
+    patch.setattr(CandidateSelector, "zone_limits", lambda self, job, spec, zones: {})
 
 
 def _silence_is_proof(patch):
--- a/tests/test_rule_checker.py
+++ b/tests/test_rule_checker.py
@@ -6,7 +6,7 @@
 
 from tealhook.admission.polls import PollHandler
 from tealhook.admission.validation import JobValidator
-from tealhook.scheduling.candidates import CandidateSelection
+from tealhook.scheduling.candidates import CandidateSelector
 from tests import user_requests
 from tests.simulated_cluster import RuleViolationError, SimulatedCluster
 from tests.user_requests import UNCONSTRAINED_JOB
@@ -52,7 +52,7 @@
 def test_checker_detects_starvation_beside_free_capacity(monkeypatch):
     world, _job = _single_job()
     world.faults_ended_at = world.now
-    monkeypatch.setattr(CandidateSelection, "select", lambda self, now: [])
+    monkeypatch.setattr(CandidateSelector, "select", lambda self, now: [])
     world.submit(plays=1, vcpus=1.0, expected_s=1.0, **UNCONSTRAINED_JOB)
     with pytest.raises(RuleViolationError, match="left_waiting"):
         world.run(120.0)
--- a/tests/test_scheduling.py
+++ b/tests/test_scheduling.py
@@ -113,7 +113,7 @@
         world.run(1.0)
     found = {
         item.job.id: item.within_guarantee
-        for item in node.team_scheduler.cycle.selection.select(node.context.effects.now())
+        for item in node.team_scheduler.cycle.selector.select(node.context.effects.now())
     }
     return [found[job] for job in jobs]
 
@@ -142,6 +142,6 @@
 
 def test_without_quota_reservation_large_tasks_starve(monkeypatch):
     monkeypatch.setattr(
-        candidates.CandidateSelection, "_reserve_for_overdue", lambda self, team, jobs, now, hold_age_s: None
+        candidates.CandidateSelector, "_reserve_for_overdue", lambda self, team, jobs, now, hold_age_s: None
     )
     assert _team_at_its_limit().started_at is None
--- a/tests/test_starvation.py
+++ b/tests/test_starvation.py
@@ -7,7 +7,7 @@
 from tealhook.jobs.attempt import Attempt
 from tealhook.jobs.job import Job
 from tealhook.jobs.job_entry import JobEntry
-from tealhook.scheduling.candidates import CandidateSelection
+from tealhook.scheduling.candidates import CandidateSelector
 from tealhook.wire.job_parser import parse_job
 from tests.simulated_cluster import RuleViolationError, SimJob, SimulatedCluster
 from tests.user_requests import submit_periodically
@@ -52,7 +52,7 @@
 
 @pytest.mark.parametrize("seed", [20, 25])
 def test_without_quota_borrowing_started_job_starves(seed, monkeypatch):
-    monkeypatch.setattr(CandidateSelection, "_may_borrow", staticmethod(lambda job, spec, now, hold_age_s: False))
+    monkeypatch.setattr(CandidateSelector, "_may_borrow", staticmethod(lambda job, spec, now, hold_age_s: False))
     world, _overdue, _begun = _quota_reserved_for_overdue_job(LONG_S, seed)
     with pytest.raises(RuleViolationError, match="left_waiting"):
         world.run(200.0)
@@ -81,7 +81,7 @@
             job.last_assigned_at = placed_at
         if staged:
             job.staged[0] = Attempt(0, 1, "host-1", 1, "za", 1, now)
-        return CandidateSelection._may_borrow(job, job.spec, now, 80.0)
+        return CandidateSelector._may_borrow(job, job.spec, now, 80.0)
 
     assert [may_borrow(now) for now in (79.0, 81.0)] == [False, True]
     assert [may_borrow(now, placed_at=50.0) for now in (81.0, 129.0, 131.0)] == [False, False, True]
--- a/tests/test_teams_without_guarantee.py
+++ b/tests/test_teams_without_guarantee.py
@@ -5,7 +5,7 @@
 import pytest
 
 from tealhook.partitions.preemption import Preemption, PreemptionScope
-from tealhook.scheduling.candidates import CandidateSelection
+from tealhook.scheduling.candidates import CandidateSelector
 from tests.simulated_cluster import SimulatedCluster
 from tests.user_requests import UNIFORM_JOB
 
@@ -52,7 +52,7 @@
 
 
 def test_delayed_checkpoint_preemption_makes_others_wait(monkeypatch):
-    monkeypatch.setattr(CandidateSelection, "may_preempt_checkpointing", lambda self, candidate: False)
+    monkeypatch.setattr(CandidateSelector, "may_preempt_checkpointing", lambda self, candidate: False)
     monkeypatch.setattr(
         Preemption,
         "scope_of",
