--- a/tealhook/scheduling/attempts.py
+++ b/tealhook/scheduling/attempts.py
@@ -27,7 +27,7 @@
 NO_UPDATE = (0, 0)  # comes before every (token, sequence) of a status update
 
 
-class Attempts:
+class AttemptTracker:
     """The attempts of all teams that this node owns, as status updates and released machines change them."""
 
     def __init__(
--- a/tealhook/scheduling/launches.py
+++ b/tealhook/scheduling/launches.py
@@ -22,7 +22,7 @@
 EXPIRY_MARGIN_S = 0.1  # added to an expiry that another machine counts
 
 
-class Launches:
+class AttemptLauncher:
     """Launches of attempts of the teams that this node owns.
 
     A lost launch, or a lost reply, is settled by reconciliation.
--- a/tealhook/scheduling/team_scheduler.py
+++ b/tealhook/scheduling/team_scheduler.py
@@ -19,14 +19,14 @@
 from tealhook.loop.effects import every
 from tealhook.mesh import Mesh
 from tealhook.scheduling.attempt_index import AttemptIndex
-from tealhook.scheduling.attempts import Attempts
+from tealhook.scheduling.attempts import AttemptTracker
 from tealhook.scheduling.commits import Commits
 from tealhook.scheduling.cycle import SchedulingCycle
 from tealhook.scheduling.demand import TeamDemand
 from tealhook.scheduling.dependencies import DependencyTracker
 from tealhook.scheduling.job_building import JobBuilder
 from tealhook.scheduling.job_cleanup import JobCleanup
-from tealhook.scheduling.launches import Launches
+from tealhook.scheduling.launches import AttemptLauncher
 from tealhook.scheduling.reconciliation import Reconciliation
 from tealhook.scheduling.stop_commands import StopCommands
 from tealhook.scheduling.team_recovery import TeamRecovery
@@ -69,7 +69,7 @@
         self._attempt_index = AttemptIndex()
         self._stop_commands = StopCommands(ownership, mesh)
         self._job_cleanup = JobCleanup(self._attempt_index, self._stop_commands, self.commits)
-        self._attempts = Attempts(
+        self._attempts = AttemptTracker(
             context,
             self.teams,
             self._attempt_index,
@@ -78,7 +78,7 @@
             self._job_cleanup,
             self.cycle.wake,
         )
-        self._launches = Launches(context, ownership, mesh, self.teams, self._attempts.on_absent)
+        self._launches = AttemptLauncher(context, ownership, mesh, self.teams, self._attempts.on_absent)
         self._reconciliation = Reconciliation(context, ownership, mesh, self.teams, self._attempt_index)
         self._dependencies = DependencyTracker(context, store, job_index, self.teams)
         self._job_builder = JobBuilder(context, job_index, self._dependencies.schedule_check)
--- a/tests/test_guards.py
+++ b/tests/test_guards.py
@@ -7,7 +7,7 @@
 from tealhook.partitions.manager import PartitionManager
 from tealhook.partitions.partition import Partition
 from tealhook.partitions.state import PartitionState
-from tealhook.scheduling.attempts import Attempts
+from tealhook.scheduling.attempts import AttemptTracker
 from tealhook.scheduling.candidates import CandidateSelection
 from tealhook.scheduling.commits import Commits
 from tealhook.scheduling.team_scheduler import TeamState
@@ -24,7 +24,7 @@
 
 
 def _accept_any_proof_of_absence(patch):
-    patch.setattr(Attempts, "_proves_absence", staticmethod(lambda attempt, news: True))
+    patch.setattr(AttemptTracker, "_proves_absence", staticmethod(lambda attempt, news: True))
 
 
 def _assume_uncertain_commits(patch):
