--- a/tealhook/controller.py
+++ b/tealhook/controller.py
@@ -101,7 +101,7 @@
         elif key.startswith(TEAM_PREFIX):
             self.team_scheduler.on_ownership_change(key[len(TEAM_PREFIX) :], token)
 
-    def on_zone(self, zone: str) -> None:
+    def on_unowned_zone(self, zone: str) -> None:
         """A heartbeat names a zone: it gets an ownership key, unless the name is malformed or zones are too many."""
         is_valid = 0 < len(zone) <= MAX_ZONE_LENGTH and not any(c.isspace() or c == "/" for c in zone)
         if is_valid and len(self.ownership.zones()) < MAX_ZONES:
--- a/tealhook/gossip/receiver.py
+++ b/tealhook/gossip/receiver.py
@@ -51,4 +51,4 @@
             if job in self._job_index.active:
                 self._progress[job] = progress
         for usage in gossip.usage:
-            self._partition_manager.over_guarantee[usage.team] = usage.over_guarantee_cpus
+            self._partition_manager.over_guarantee_cpus_by_team[usage.team] = usage.over_guarantee_cpus
--- a/tealhook/mesh_handler.py
+++ b/tealhook/mesh_handler.py
@@ -39,7 +39,7 @@
                 self._team_scheduler.on_status_update(body)
             case wire.MachinesReleased(machines=machines):
                 for name in machines:
-                    self._partition_manager.forget_machine(name)
+                    self._partition_manager.remove_machine(name)
                 self._team_scheduler.on_machines_released(machines)
             case wire.FenceRequest(machines=machines):
                 self._fleet_manager.fence(machines)
@@ -89,7 +89,7 @@
             case wire.StopRequest():
                 partition.stop(body)
             case wire.DrainRequest():
-                partition.drain(body.machines)
+                partition.set_drained_machines(body.machines)
 
 
 def _launch(partition: Partition, request: wire.LaunchRequest) -> wire.LaunchReply:
--- a/tealhook/partitions/capacity.py
+++ b/tealhook/partitions/capacity.py
@@ -31,7 +31,7 @@
             if task.status == TaskStatus.EXITED or task.yields_to:
                 continue
             if task.resources is None:
-                task.resources = self._launched_jobs.resources_of(task.job)
+                task.resources = self._launched_jobs.task_resources(task.job)
                 if task.resources is None:
                     return NO_RESOURCES  # a task that nobody here knows: give nothing until it is known
             used = task.resources
@@ -42,7 +42,7 @@
         machine.free_resources = Resources(vcpus, gpus, memory_gb)
         return machine.free_resources
 
-    def fit(self, machine: Machine, required: Resources) -> TaskFit:
+    def compute_fit(self, machine: Machine, required: Resources) -> TaskFit:
         """Tasks of `required` that fit a machine now; if none does, from when one should.
 
         Kept with the machine: otherwise one change anywhere has all machines of the partition looked through anew.
--- a/tealhook/partitions/commands.py
+++ b/tealhook/partitions/commands.py
@@ -60,7 +60,7 @@
             elif key in machine.pending_forgets or status(task.job) in ENDED_STATES:
                 commands.append(wire.Command(wire.CommandAction.FORGET, task.task, task.attempt))
         machine_type = self._machine_types.get(machine.machine_type)
-        if machine_type is not None and not self._responder.may_not_launch():
+        if machine_type is not None and not self._responder.must_not_launch():
             self._add_starts(machine, machine_type, commands)
         return commands[:MAX_COMMANDS]
 
@@ -90,7 +90,7 @@
                 key in machine.pending_stops and self._exits_at_once(task, machine.pending_stops[key])
             ):
                 # A task that nobody here knows may take all of it.
-                free = subtract(free, self._launched_jobs.resources_of(task.job) or machine_type.resources)
+                free = subtract(free, self._launched_jobs.task_resources(task.job) or machine_type.resources)
         return free
 
     def _exits_at_once(self, task: MachineTask, grace_period_s: float) -> bool:
@@ -146,7 +146,7 @@
             reservation.state = ReservationState.LAUNCHING
             machine.changed = True
             launching[machine.name] = None
-            self._launched_jobs.remember(reservation.job, reservation.team, reservation.resources)
+            self._launched_jobs.record_launch(reservation.job, reservation.team, reservation.resources)
             for victim in reservation.victims:
                 machine.pending_stops[victim] = self._preemption_grace_s(machine.tasks.get(victim))
                 stopping[machine.name] = machine
--- a/tealhook/partitions/grants.py
+++ b/tealhook/partitions/grants.py
@@ -16,13 +16,13 @@
 from tealhook.partitions.machine import Machine, MachineTask, count_fitting, subtract
 from tealhook.partitions.packing import PackingOrder
 from tealhook.partitions.pending_grant import PendingGrant
-from tealhook.partitions.preemption import Preemption, PreemptionScope
+from tealhook.partitions.preemption import PreemptionPlanner, PreemptionScope
 from tealhook.partitions.reservations import Reservations
 from tealhook.partitions.state import PartitionState
 from tealhook.wire import mesh
 
 
-class _QueuedOffer(NamedTuple):
+class _QueuedPlan(NamedTuple):
     """A machine in the order of what preemption there throws away; `position` decides between equals."""
 
     lost_cpu_s: float
@@ -30,7 +30,7 @@
     machine: Machine
 
 
-class ReservationGrants:
+class ReservationGranter:
     """Serves reserve requests."""
 
     def __init__(
@@ -43,7 +43,7 @@
         self._reservations = reservations
         self._fetch_rates = fetch_rates
         self._holds = CapacityHolds(capacity, state.context.workers.report_s)
-        self._preemption = Preemption(state)
+        self._preemption_planner = PreemptionPlanner(state)
 
     def reserve(self, request: mesh.ReserveRequest) -> mesh.ReserveReply:
         """Reserve capacity for each item of a request, in their order, on machines that can start the tasks at once."""
@@ -61,7 +61,7 @@
         request = pending.request
         self._grant_free(pending)
         if pending.missing > 0:
-            scope = self._preemption.scope_of(request)
+            scope = self._preemption_planner.allowed_scope(request)
             if scope is PreemptionScope.ANY:
                 self._preempt_cheapest(pending)
             elif scope is PreemptionScope.CHECKPOINTING:
@@ -75,7 +75,7 @@
         request, now, blocks = pending.request, pending.now, self._holds.blocks
         return (
             machine
-            for machine in pending.packing.in_order(request.requirements.image)
+            for machine in pending.packing.machines_in_order(request.requirements.image)
             if allows_machine(request.requirements, machine)
             and machine.name not in request.avoided_machines
             and not blocks(machine, request, now)
@@ -85,18 +85,18 @@
         """Grant what is free."""
         chosen: list[tuple[Machine, int]] = []
         missing = pending.missing
-        free, required = pending.packing.free, pending.required
+        free_resources, required = pending.packing.free_resources, pending.required
         for machine in self._candidates(pending):
             if missing <= 0:
                 break
-            count = min(missing, count_fitting(free(machine), required))
+            count = min(missing, count_fitting(free_resources(machine), required))
             if count:
                 chosen.append((machine, count))
                 missing -= count
         for machine, count in chosen:
             for _ in range(count):
                 self._add_grant(pending, machine, [])
-            pending.packing.set_free(machine, subtract(free(machine), required, count))
+            pending.packing.set_free_resources(machine, subtract(free_resources(machine), required, count))
 
     def _add_grant(self, pending: PendingGrant, machine: Machine, victims: list[MachineTask]) -> None:
         request = pending.request
@@ -105,7 +105,7 @@
         fetch_s = (
             0.0
             if machine.has_image(request.requirements.image)
-            else request.requirements.image_gb / self._fetch_rates.rate(machine.machine_type)
+            else request.requirements.image_gb / self._fetch_rates.gb_per_s(machine.machine_type)
         )
         pending.granted.append(
             mesh.ReservationGrant(reservation.reservation_id, machine.name, machine.session, fetch_s)
@@ -115,24 +115,24 @@
         """Preempt tasks of lower priority, or beyond another team's guarantee, those begun last first."""
         # The least loss first. One choice changes its own machine, and what teams still run beyond their
         # guarantees: so an offer is worked out again when its turn comes, not all of them each time.
-        queue: list[_QueuedOffer] = []
+        queue: list[_QueuedPlan] = []
         for position, machine in enumerate(list(self._candidates(pending))):
-            offer = self._preemption.offer(machine, pending, PreemptionScope.ANY)
-            if offer is not None:
-                queue.append(_QueuedOffer(offer.lost_cpu_s, position, machine))
+            plan = self._preemption_planner.plan(machine, pending, PreemptionScope.ANY)
+            if plan is not None:
+                queue.append(_QueuedPlan(plan.lost_cpu_s, position, machine))
         heapq.heapify(queue)
         while queue and pending.missing > 0:
             queued = heapq.heappop(queue)
             machine = queued.machine
-            offer = self._preemption.offer(machine, pending, PreemptionScope.ANY)
-            if offer is None:
+            plan = self._preemption_planner.plan(machine, pending, PreemptionScope.ANY)
+            if plan is None:
                 continue
-            if offer.lost_cpu_s > queued.lost_cpu_s and queue and offer.lost_cpu_s > queue[0].lost_cpu_s:
-                heapq.heappush(queue, _QueuedOffer(offer.lost_cpu_s, queued.position, machine))
+            if plan.lost_cpu_s > queued.lost_cpu_s and queue and plan.lost_cpu_s > queue[0].lost_cpu_s:
+                heapq.heappush(queue, _QueuedPlan(plan.lost_cpu_s, queued.position, machine))
                 continue
-            self._preemption.charge(pending.request, offer.victims)
-            pending.packing.set_free(machine, subtract(offer.free, pending.required))
-            self._add_grant(pending, machine, offer.victims)
+            self._preemption_planner.charge(pending.request, plan.victims)
+            pending.packing.set_free_resources(machine, subtract(plan.free_resources, pending.required))
+            self._add_grant(pending, machine, plan.victims)
             heapq.heappush(queue, queued)
 
     def _preempt_checkpointing(self, pending: PendingGrant) -> None:
@@ -142,10 +142,10 @@
         """
         for machine in list(self._candidates(pending)):
             while pending.missing > 0:
-                offer = self._preemption.offer(machine, pending, PreemptionScope.CHECKPOINTING)
-                if offer is None:
+                plan = self._preemption_planner.plan(machine, pending, PreemptionScope.CHECKPOINTING)
+                if plan is None:
                     break
-                pending.packing.set_free(machine, subtract(offer.free, pending.required))
-                self._add_grant(pending, machine, offer.victims)
+                pending.packing.set_free_resources(machine, subtract(plan.free_resources, pending.required))
+                self._add_grant(pending, machine, plan.victims)
             if pending.missing <= 0:
                 return
--- a/tealhook/partitions/heartbeats.py
+++ b/tealhook/partitions/heartbeats.py
@@ -132,7 +132,7 @@
             return
         machine_type = self._state.machine_types.get(machine.machine_type)
         if task.status == wire.TaskStatus.FETCHING and spec.image_gb > 0 and spec.image not in machine.images:
-            self._fetch_rates.learn(machine_type, spec.image_gb, now - task.since)
+            self._fetch_rates.record_fetch(machine_type, spec.image_gb, now - task.since)
         machine.add_image(spec.image, spec.image_gb, machine_type.disk_gb if machine_type else 0.0)
 
     @staticmethod
--- a/tealhook/partitions/inquiries.py
+++ b/tealhook/partitions/inquiries.py
@@ -8,7 +8,7 @@
 from typing import NamedTuple
 
 from tealhook.partitions.capacity import MachineCapacity
-from tealhook.partitions.fetch_rates import DEFAULT_GB_PER_S, FetchRates
+from tealhook.partitions.fetch_rates import DEFAULT_FETCH_GB_PER_S, FetchRates
 from tealhook.partitions.machine import NEVER_S, Machine, required_resources
 from tealhook.partitions.reservations import Reservations
 from tealhook.partitions.state import PartitionState
@@ -65,10 +65,10 @@
     def inquire(self, requirements: list[mesh.TaskRequirements]) -> mesh.CapacityReply:
         """The earliest free time for tasks of each requirements: how many fit now, and when the next one should."""
         now = self._effects.now()
-        if now > self._state.view_valid_until:
+        if now > self._state.capacity_view_valid_until:
             self._machines = self._reservations.schedulable_machines()
             self._fits.clear()
-            self._state.view_valid_until = now + self._workers.report_s * VIEW_PERIODS
+            self._state.capacity_view_valid_until = now + self._workers.report_s * VIEW_PERIODS
         return mesh.CapacityReply(self._state.token, [self._capacity_for(required, now) for required in requirements])
 
     def _capacity_for(self, requirements: mesh.TaskRequirements, now: float) -> mesh.Capacity:
@@ -89,7 +89,7 @@
                 cached += count
             else:
                 uncached += count
-        return mesh.Capacity(cached, uncached, fit.next_free_s, fit.fetch_gb_per_s or DEFAULT_GB_PER_S)
+        return mesh.Capacity(cached, uncached, fit.next_free_s, fit.fetch_gb_per_s or DEFAULT_FETCH_GB_PER_S)
 
     def _compute_fit(self, requirements: mesh.TaskRequirements, now: float) -> _PartitionFit:
         required = required_resources(requirements)
@@ -100,11 +100,11 @@
             if not allows_machine(requirements, machine):
                 continue
             machine_types.add(machine.machine_type)
-            count, free_at = machine.fit_cache.get(required) or self._capacity.fit(machine, required)
+            count, free_at = machine.fit_cache.get(required) or self._capacity.compute_fit(machine, required)
             if count:
                 fitting.append((machine, count))
             else:
                 next_at = min(next_at, free_at)
         # What frees is known here with the machine's next heartbeat, half a period later on the average.
         next_free_s = max(0.0, next_at - now) + self._workers.report_s / 2 if next_at < NEVER_S else NEVER_S
-        return _PartitionFit(fitting, next_free_s, max(map(self._fetch_rates.rate, machine_types), default=0.0))
+        return _PartitionFit(fitting, next_free_s, max(map(self._fetch_rates.gb_per_s, machine_types), default=0.0))
--- a/tealhook/partitions/interfaces.py
+++ b/tealhook/partitions/interfaces.py
@@ -18,7 +18,7 @@
         """A machine has a task of a job that is neither in the job index nor was launched here."""
         ...
 
-    def on_zone(self, zone: str) -> None:
+    def on_unowned_zone(self, zone: str) -> None:
         """A heartbeat names a zone whose partition this node does not own; it may be a new one."""
         ...
 
@@ -30,7 +30,7 @@
         """Answer a machine's open heartbeat with the commands that there are; whether one was open."""
         ...
 
-    def may_not_launch(self) -> bool:
+    def must_not_launch(self) -> bool:
         """Whether this node may own nothing any more, or knows too little of cancellations to start anything."""
         ...
 
--- a/tealhook/partitions/launched_jobs.py
+++ b/tealhook/partitions/launched_jobs.py
@@ -8,7 +8,7 @@
 from tealhook.partitions.state import PartitionState
 from tealhook.wire.common import Resources
 
-MIN_REMEMBERED = 4096
+MIN_REMEMBERED_JOBS = 4096
 BYTES_PER_JOB = 400  # about what one remembered job takes
 MEMORY_SHARE = 1 / 16  # of the controller's memory limit
 
@@ -31,17 +31,17 @@
         """No job yet; as many are remembered as fit a share of the memory."""
         self._job_index = state.job_index
         limits = state.context.settings.params.limits
-        self._max_remembered = max(MIN_REMEMBERED, int(limits.memory_bytes(MEMORY_SHARE) / BYTES_PER_JOB))
+        self._max_remembered = max(MIN_REMEMBERED_JOBS, int(limits.memory_bytes(MEMORY_SHARE) / BYTES_PER_JOB))
         self._launched: OrderedDict[str, LaunchedJob] = OrderedDict()  # in the order of their latest launches
 
-    def remember(self, job: str, team: str, resources: Resources) -> None:
+    def record_launch(self, job: str, team: str, resources: Resources) -> None:
         """Remember whose job a launched task is of, and what it takes; the job launched longest ago is dropped."""
         self._launched[job] = LaunchedJob(team, resources)
         self._launched.move_to_end(job)
         if len(self._launched) > self._max_remembered:
             self._launched.popitem(last=False)
 
-    def resources_of(self, job: str) -> Resources | None:
+    def task_resources(self, job: str) -> Resources | None:
         """What a task of a job takes of its machine; None while that is not known."""
         entry = self._job_index.active.get(job)
         if entry is not None:
--- a/tealhook/partitions/manager.py
+++ b/tealhook/partitions/manager.py
@@ -53,8 +53,10 @@
         self._machine_types = machine_types
         self._observer = observer
         self.partitions: dict[str, Partition] = {}
-        self.over_guarantee: dict[str, float] = {}  # team -> CPUs beyond its guarantee; kept up to date by gossip
-        self.connections: ConnectionLoad = UnlimitedConnections()  # until a server is there
+        self.over_guarantee_cpus_by_team: dict[
+            str, float
+        ] = {}  # team -> CPUs beyond its guarantee; kept up to date by gossip
+        self.connection_load: ConnectionLoad = UnlimitedConnections()  # until a server is there
         self._redirects = Redirects(context, ownership, mesh)
         self._open_heartbeats: dict[str, _OpenHeartbeat] = {}  # machine -> its newest heartbeat, if not answered yet
         self._released = ReleasedMachines(context)
@@ -67,20 +69,20 @@
 
     def _probe(self) -> None:
         for partition in self.partitions.values():
-            partition.probe()
+            partition.probe_unresponsive()
 
     def on_ownership_change(self, zone: str, token: int | None) -> None:
         """Begin to own a partition under a token, or stop to own it (None)."""
         self.partitions.pop(zone, None)
         if token is not None:
             state = PartitionState(
-                self._context, zone, token, self._job_index, self._machine_types, self.over_guarantee
+                self._context, zone, token, self._job_index, self._machine_types, self.over_guarantee_cpus_by_team
             )
             self.partitions[zone] = Partition(state, self._observer, self)
         for name in [name for name, waiting in self._open_heartbeats.items() if waiting.heartbeat.zone == zone]:
             self.answer_now(name)
 
-    def may_not_launch(self) -> bool:
+    def must_not_launch(self) -> bool:
         """Whether we have stood still, or know too little of the latest cancellations to start anything.
 
         A node that the state service refuses alone goes on being told to launch by schedulers that it serves; what is
@@ -93,13 +95,13 @@
         partitions = (
             self.partitions.values() if zone is None else [self.partitions[zone]] if zone in self.partitions else []
         )
-        return all(partition.is_unheard for partition in partitions)
+        return all(partition.is_silent for partition in partitions)
 
-    def forget_machine(self, machine: str) -> None:
+    def remove_machine(self, machine: str) -> None:
         """Forget a machine that is released: it is gone for good."""
         self._released.add(machine)
         for partition in self.partitions.values():
-            partition.forget(machine)
+            partition.remove_machine(machine)
 
     def on_heartbeat(self, body: bytes, reply: Reply, *, relayed: bool = False) -> None:
         """Take a worker's heartbeat, made to us or relayed by another node, and answer it now or later."""
@@ -121,7 +123,7 @@
             reply(200, partition.responses.body_for(None))
             return
         # With all workers of a large fleet on one node, heartbeats held open would leave no connection to users.
-        hold_s = 0.0 if relayed or self.connections.crowded else partition.responses.hold_open_s(heartbeat.machine)
+        hold_s = 0.0 if relayed or self.connection_load.crowded else partition.responses.hold_open_s(heartbeat.machine)
         if hold_s <= 0:
             reply(200, partition.responses.body_for(heartbeat.machine))
             return
@@ -151,7 +153,7 @@
         key = partition_key(heartbeat.zone)
         partition = self.partitions.get(heartbeat.zone)
         if partition is None:
-            self._observer.on_zone(heartbeat.zone)
+            self._observer.on_unowned_zone(heartbeat.zone)
             self._redirects.redirect(heartbeat, body, reply, self._ownership.owner(key), relayed=relayed)
             return False
         if heartbeat.fencing_token > partition.token:
--- a/tealhook/partitions/packing.py
+++ b/tealhook/partitions/packing.py
@@ -23,7 +23,7 @@
 
     def __init__(self, machines: list[Machine], free_resources: Callable[[Machine], Resources]) -> None:
         """`free_resources` tells what is free on a machine on its own; what is given away here is counted here."""
-        self._free = {machine.name: free_resources(machine) for machine in machines}
+        self._free_resources = {machine.name: free_resources(machine) for machine in machines}
         self._position = {machine.name: position for position, machine in enumerate(machines)}
         ranks = [(self._rank(machine), machine) for machine in machines]
         self._ranked = sorted(ranks, key=itemgetter(0))
@@ -31,25 +31,25 @@
     def _rank(self, machine: Machine) -> Rank:
         return (
             not machine.spot,
-            self._free[machine.name][0],
+            self._free_resources[machine.name][0],
             machine.heard_at,
             self._position[machine.name],
         )
 
-    def free(self, machine: Machine) -> Resources:
+    def free_resources(self, machine: Machine) -> Resources:
         """What is left on a machine."""
-        return self._free[machine.name]
+        return self._free_resources[machine.name]
 
-    def in_order(self, image: str) -> Iterator[Machine]:
+    def machines_in_order(self, image: str) -> Iterator[Machine]:
         """All machines, those with the image first; nothing may be taken while this is being read."""
         for cached in (True, False):
             for _, machine in self._ranked:
                 if machine.has_image(image) is cached:
                     yield machine
 
-    def set_free(self, machine: Machine, free: Resources) -> None:
+    def set_free_resources(self, machine: Machine, free_resources: Resources) -> None:
         """Note what is left after resources were given away or freed: the machine takes its new place in the order."""
         before = self._rank(machine)
         del self._ranked[bisect_left(self._ranked, before, key=itemgetter(0))]
-        self._free[machine.name] = free
+        self._free_resources[machine.name] = free_resources
         insort(self._ranked, (self._rank(machine), machine), key=itemgetter(0))
--- a/tealhook/partitions/partition.py
+++ b/tealhook/partitions/partition.py
@@ -8,7 +8,7 @@
 from tealhook.partitions.capacity import MachineCapacity
 from tealhook.partitions.commands import Commands
 from tealhook.partitions.fetch_rates import FetchRates
-from tealhook.partitions.grants import ReservationGrants
+from tealhook.partitions.grants import ReservationGranter
 from tealhook.partitions.heartbeats import HeartbeatReceiver
 from tealhook.partitions.inquiries import CapacityInquiries
 from tealhook.partitions.interfaces import HeartbeatResponder, PartitionObserver
@@ -23,7 +23,7 @@
 from tealhook.wire import mesh
 from tealhook.wire import workers as wire
 
-UNHEARD_LEASES = 1.25  # a partition none of whose machines is heard of for so long may be out of our reach
+SILENT_PARTITION_LEASES = 1.25  # a partition none of whose machines is heard of for so long may be out of our reach
 
 
 class Partition:
@@ -43,7 +43,7 @@
         self.reservations = Reservations(state)
         fetch_rates = FetchRates(state.machine_types)
         self._inquiries = CapacityInquiries(state, self.capacity, self.reservations, fetch_rates)
-        self._grants = ReservationGrants(state, self.capacity, self.reservations, fetch_rates)
+        self._granter = ReservationGranter(state, self.capacity, self.reservations, fetch_rates)
         self._worker_calls = WorkerCalls(state)
         self.status_updates = StatusUpdates(state, self.reservations, self.launched_jobs, observer)
         self.commands = Commands(state, self.reservations, self.launched_jobs, self.status_updates, responder)
@@ -64,7 +64,7 @@
 
     def reserve(self, request: mesh.ReserveRequest) -> mesh.ReserveReply:
         """Reserve capacity for each item of a request, in their order, on machines that can start the tasks at once."""
-        return self._grants.reserve(request)
+        return self._granter.reserve(request)
 
     def reconcile(self, request: mesh.ReconcileRequest) -> mesh.ReconcileReply:
         """Answer a team's scheduler; from here on, launches by earlier schedulers of that team are refused."""
@@ -89,26 +89,26 @@
         self._worker_calls.announce_token(addresses)
 
     @property
-    def is_unheard(self) -> bool:
+    def is_silent(self) -> bool:
         """Whether no machine, be there any or not, has been heard of for longer than a lease."""
-        since = self._effects.now() - UNHEARD_LEASES * self._workers.lease_s
-        return self._state.owned_at < since and all(machine.heard_at < since for machine in self.machines.values())
+        since = self._effects.now() - SILENT_PARTITION_LEASES * self._workers.lease_s
+        return self._state.owned_since < since and all(machine.heard_at < since for machine in self.machines.values())
 
-    def probe(self) -> None:
+    def probe_unresponsive(self) -> None:
         """Call machines that commands didn't reach, to learn whether they would now."""
         self._worker_calls.probe_unresponsive()
 
-    def forget(self, name: str) -> None:
+    def remove_machine(self, name: str) -> None:
         """Forget a machine that is gone."""
         machine = self.machines.pop(name, None)
         if machine is not None:
             self.reservations.drop_all(machine)
 
-    def drain(self, names: list[str]) -> None:
+    def set_drained_machines(self, names: list[str]) -> None:
         """Give nothing more to these machines; all others of the partition are not drained any more."""
-        drained = set(names)
+        draining = set(names)
         for machine in self.machines.values():
-            machine.drained = machine.name in drained
+            machine.drained = machine.name in draining
 
     def machine_states(self) -> list[mesh.MachineState]:
         """The machines as the fleet manager needs to know them."""
--- a/tealhook/partitions/preemption.py
+++ b/tealhook/partitions/preemption.py
@@ -24,15 +24,15 @@
     ANY = "any"  # of lower priority, or beyond another team's guarantee
 
 
-class PreemptionOffer(NamedTuple):
+class PreemptionPlan(NamedTuple):
     """What it takes to fit one more task on a machine: work lost, tasks to preempt, and what is free without them."""
 
     lost_cpu_s: float
     victims: list[MachineTask]
-    free: Resources
+    free_resources: Resources
 
 
-class Preemption:
+class PreemptionPlanner:
     """Chooses tasks to preempt: of lower priority, or what another team runs beyond its guarantee."""
 
     def __init__(self, state: PartitionState) -> None:
@@ -41,9 +41,9 @@
         self._workers = state.context.workers
         self._done_within = state.context.settings.done_within()
         self._job_index = state.job_index
-        self._over_guarantee = state.over_guarantee
+        self._over_guarantee_cpus_by_team = state.over_guarantee_cpus_by_team
 
-    def scope_of(self, request: mesh.ReservationRequest) -> PreemptionScope:
+    def allowed_scope(self, request: mesh.ReservationRequest) -> PreemptionScope:
         """Which tasks may be preempted for a request: of all kinds if it says so, else those with checkpoints."""
         if request.may_preempt:
             return PreemptionScope.ANY
@@ -51,37 +51,39 @@
             return PreemptionScope.CHECKPOINTING
         return PreemptionScope.NONE
 
-    def offer(self, machine: Machine, pending: PendingGrant, scope: PreemptionScope) -> PreemptionOffer | None:
+    def plan(self, machine: Machine, pending: PendingGrant, scope: PreemptionScope) -> PreemptionPlan | None:
         """The cheapest way to fit one more task on a machine; None: there is none."""
         request, required, now = pending.request, pending.required, pending.now
-        free = pending.packing.free(machine)
+        free_resources = pending.packing.free_resources(machine)
         lost_cpu_s = 0.0
         victims: list[MachineTask] = []
         over_guarantee: dict[str, float] = {}  # as it is after these victims
         preemptible = self._preemptible_within(scope, machine, request, now)
         for loss, task in sorted(((self._lost_cpu_s(task, now), task) for task in preemptible), key=itemgetter(0)):
-            if fits(free, required):
+            if fits(free_resources, required):
                 break
             entry = self._job_index.active[task.job]
             if entry.priority >= request.requirements.priority:
                 if scope is not PreemptionScope.ANY:
                     continue
                 # Of equal or higher priority: only what its team runs beyond its guarantee, for a guarantee.
-                left = over_guarantee.setdefault(entry.team, self._over_guarantee.get(entry.team, 0.0))
+                left = over_guarantee.setdefault(entry.team, self._over_guarantee_cpus_by_team.get(entry.team, 0.0))
                 if not request.within_guarantee or entry.team == request.team or not left >= entry.spec.vcpus > 0:
                     continue
                 over_guarantee[entry.team] -= entry.spec.vcpus
             lost_cpu_s += loss
             victims.append(task)
-            free = add(free, entry.spec.resources)
-        return PreemptionOffer(lost_cpu_s, victims, free) if victims and fits(free, required) else None
+            free_resources = add(free_resources, entry.spec.resources)
+        return (
+            PreemptionPlan(lost_cpu_s, victims, free_resources) if victims and fits(free_resources, required) else None
+        )
 
     def charge(self, request: mesh.ReservationRequest, victims: list[MachineTask]) -> None:
         """Note that these tasks are preempted, for what their teams still run beyond their guarantees."""
         for task in victims:
             entry = self._job_index.active[task.job]
-            if entry.team in self._over_guarantee and entry.priority >= request.requirements.priority:
-                self._over_guarantee[entry.team] -= entry.spec.vcpus
+            if entry.team in self._over_guarantee_cpus_by_team and entry.priority >= request.requirements.priority:
+                self._over_guarantee_cpus_by_team[entry.team] -= entry.spec.vcpus
 
     def _preemptible_within(
         self, scope: PreemptionScope, machine: Machine, request: mesh.ReservationRequest, now: float
--- a/tealhook/partitions/reservations.py
+++ b/tealhook/partitions/reservations.py
@@ -7,7 +7,7 @@
 from tealhook.wire import mesh
 from tealhook.wire.common import Resources
 
-RESERVATION_LEASES = 1 / 4  # how long a reservation stands that is not used
+RESERVATION_LEASE_SHARE = 1 / 4  # how long a reservation stands that is not used
 MAX_SILENCE_PERIODS = 2.5  # heartbeat periods; a machine not heard of for longer is given nothing
 FIRST_ID_BITS = 40  # drawn at random, so that ids of different owners don't collide
 COUNTED_ID_BITS = 20
@@ -55,7 +55,7 @@
             request.job,
             required,
             request.requirements.image,
-            now + self._workers.lease_s * RESERVATION_LEASES,
+            now + self._workers.lease_s * RESERVATION_LEASE_SHARE,
             now,
             [task.key for task in victims],
             non_preemptible=request.non_preemptible,
--- a/tealhook/partitions/state.py
+++ b/tealhook/partitions/state.py
@@ -19,16 +19,18 @@
     token: int
     job_index: JobIndex
     machine_types: dict[str, MachineType]
-    over_guarantee: dict[str, float]  # team -> CPUs that it uses beyond its guarantee, as its scheduler says
+    over_guarantee_cpus_by_team: dict[
+        str, float
+    ]  # team -> CPUs that it uses beyond its guarantee, as its scheduler says
     machines: dict[str, Machine] = field(default_factory=dict)
-    owned_at: float = field(init=False)  # since when this node owns the partition
-    view_valid_until: float = 0.0  # until when inquiries are answered from what was computed for the last one
+    owned_since: float = field(init=False)  # since when this node owns the partition
+    capacity_view_valid_until: float = 0.0  # until when inquiries are answered from what was computed for the last one
 
     def __post_init__(self) -> None:
         """The node begins to own the partition now."""
-        self.owned_at = self.context.effects.now()
+        self.owned_since = self.context.effects.now()
 
     def mark_changed(self, machine: Machine) -> None:
         """Something on a machine changed: forget what was computed of it, and of the partition."""
         machine.mark_changed()
-        self.view_valid_until = 0.0
+        self.capacity_view_valid_until = 0.0
--- a/tealhook/partitions/status_updates.py
+++ b/tealhook/partitions/status_updates.py
@@ -131,7 +131,7 @@
         machine_count = len(self._machines) + unknown_count
         mostly_reporting = silent_count + unknown_count <= MAX_SILENT_SHARE * machine_count
         return mesh.ReconcileReply(
-            self._state.token, self.next_sequence(), silent_s, now - self._state.owned_at, mostly_reporting
+            self._state.token, self.next_sequence(), silent_s, now - self._state.owned_since, mostly_reporting
         )
 
     def publish_requested(self, request: mesh.ReconcileRequest) -> None:
--- a/tealhook/partitions/worker_calls.py
+++ b/tealhook/partitions/worker_calls.py
@@ -49,7 +49,7 @@
         ever. Only the token is sent: commands sent this way could be executed minutes late.
         """
         now = self._effects.now()
-        if now - self._state.owned_at < FIRST_CALL_PERIODS * self._workers.report_s:
+        if now - self._state.owned_since < FIRST_CALL_PERIODS * self._workers.report_s:
             return
         for name, address in addresses.items():
             if self._is_reconciled(name):
--- a/tealhook/runtime.py
+++ b/tealhook/runtime.py
@@ -96,7 +96,7 @@
     controller = Controller(runtime, settings, policy)
     runtime.transport = _open_mesh_transport(runtime.loop, settings, controller)
     server = _open_http_server(runtime, settings, controller)
-    controller.partition_manager.connections = server
+    controller.partition_manager.connection_load = server
     _reconnect_unheard_peers(runtime, settings, controller)
     controller.start()
     log.info(
--- a/tests/simulation/observer.py
+++ b/tests/simulation/observer.py
@@ -17,5 +17,5 @@
     def on_unknown_job(self, job: str) -> None:
         pass
 
-    def on_zone(self, zone: str) -> None:
+    def on_unowned_zone(self, zone: str) -> None:
         pass
--- a/tests/test_bin_packing.py
+++ b/tests/test_bin_packing.py
@@ -32,8 +32,8 @@
     for _ in range(40):
         machine = rng.choice(machines)
         free[machine.name] = subtract(free[machine.name], Resources(rng.uniform(-2.0, 2.0), 0.0, 1.0))
-        packing.set_free(machine, free[machine.name])
-        assert packing.free(machine) == free[machine.name]
+        packing.set_free_resources(machine, free[machine.name])
+        assert packing.free_resources(machine) == free[machine.name]
         for image in ("img", ""):
             in_order = sorted(machines, key=lambda m: (not m.has_image(image), not m.spot, free[m.name][0], m.heard_at))
-            assert [m.name for m in packing.in_order(image)] == [m.name for m in in_order]
+            assert [m.name for m in packing.machines_in_order(image)] == [m.name for m in in_order]
--- a/tests/test_command_loss.py
+++ b/tests/test_command_loss.py
@@ -116,7 +116,7 @@
     owner, name, duplicates = _duplicate_heartbeats(world := _busy_cluster(23))
     world.cloud.remove(name)
     for node in world.nodes.values():
-        node.partition_manager.forget_machine(name)
+        node.partition_manager.remove_machine(name)
     for body in duplicates:
         _send_heartbeat(owner, body)
     assert any(name in part.machines for part in owner.partition_manager.partitions.values()) == disabled
--- a/tests/test_guards.py
+++ b/tests/test_guards.py
@@ -208,7 +208,7 @@
     )
     worker = next(w for w in world.cloud.machines.values() if w.name in real.machines)
     plays = [wire.TaskReport("req-000000/0", 1, "running")]
-    partition.launched_jobs.remember("req-000000", "team-0", Resources(1.0, 0.0, 1.0))
+    partition.launched_jobs.record_launch("req-000000", "team-0", Resources(1.0, 0.0, 1.0))
     partition.on_heartbeat(
         wire.Heartbeat(
             worker.name, worker.addr, worker.machine_type["name"], worker.zone, 1, 999, real.token, True, None, plays
--- a/tests/test_large_fleet.py
+++ b/tests/test_large_fleet.py
@@ -88,8 +88,10 @@
     """Each is answered once, and is of use after the report that shows the token; what fits is worked out once each."""
     fleet = _Fleet(91)
     worked: list[str] = []
-    whole = MachineCapacity.fit
-    monkeypatch.setattr(MachineCapacity, "fit", lambda self, m, need: worked.append(m.name) or whole(self, m, need))
+    whole = MachineCapacity.compute_fit
+    monkeypatch.setattr(
+        MachineCapacity, "compute_fit", lambda self, m, need: worked.append(m.name) or whole(self, m, need)
+    )
     for _ in range(2):
         assert fleet.report_all() == [[200]] * MACHINES
     part = fleet.partition
@@ -185,14 +187,14 @@
     parts = fleet.node.partition_manager
     names = [f"host-9{i:05d}" for i in range(2 * released_machines.MIN_REMEMBERED)]
     for name in names:
-        parts.forget_machine(name)
+        parts.remove_machine(name)
     statuses: list[int] = []
     for i in (0, len(names) - 1):
         request = make_request("POST", "/v1/report", _report(i, fleet.partition.token, 1))
         fleet.node.on_request(request, lambda status, *_rest: statuses.append(status))
     assert statuses == [503, 503]
     fleet.world.run(released_machines.REMEMBERED_LEASES * 15.0 + 1.0)
-    parts.forget_machine("host-one-more")
+    parts.remove_machine("host-one-more")
     assert len(parts._released) <= released_machines.MIN_REMEMBERED
 
 
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -57,8 +57,10 @@
     state = PartitionState(node.context, "za", 1, node.job_index, node.machine_types, {}, machines)
     part = Partition(state, node, node.partition_manager)
     worked = []
-    whole = MachineCapacity.fit
-    monkeypatch.setattr(MachineCapacity, "fit", lambda self, m, need: worked.append(m.name) or whole(self, m, need))
+    whole = MachineCapacity.compute_fit
+    monkeypatch.setattr(
+        MachineCapacity, "compute_fit", lambda self, m, need: worked.append(m.name) or whole(self, m, need)
+    )
     shape = mesh.TaskRequirements(4.0, 0.0, 4.0, "img", 0.6, True, (), 1, 5.0)
     assert part.inquire([shape]).capacities[0].uncached == 600
     assert len(worked) == 300
--- a/tests/test_scheduling.py
+++ b/tests/test_scheduling.py
@@ -6,7 +6,7 @@
 from tealhook.partitions.machine import AttemptKey, Machine, MachineTask
 from tealhook.partitions.packing import PackingOrder
 from tealhook.partitions.pending_grant import PendingGrant
-from tealhook.partitions.preemption import Preemption, PreemptionScope
+from tealhook.partitions.preemption import PreemptionPlanner, PreemptionScope
 from tealhook.partitions.state import PartitionState
 from tealhook.scheduling import candidates
 from tealhook.settings.platform import Objective
@@ -85,8 +85,8 @@
     want = mesh.ReservationRequest("req-000003", "team-1", shape, 1, False, False, [], 1, preempt, False)
     pending = PendingGrant(want, PackingOrder([machine], lambda _machine: NO_RESOURCES), node.context.effects.now())
     scope = PreemptionScope.ANY if preempt else PreemptionScope.CHECKPOINTING
-    offer = Preemption(state).offer(machine, pending, scope)
-    return [held.job for held in offer.victims] if offer is not None else []
+    plan = PreemptionPlanner(state).plan(machine, pending, scope)
+    return [held.job for held in plan.victims] if plan is not None else []
 
 
 def test_task_is_not_preempted_if_its_job_would_miss_its_deadline():
--- a/tests/test_teams_without_guarantee.py
+++ b/tests/test_teams_without_guarantee.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from tealhook.partitions.preemption import Preemption, PreemptionScope
+from tealhook.partitions.preemption import PreemptionPlanner, PreemptionScope
 from tealhook.scheduling.candidates import CandidateSelection
 from tests.simulated_cluster import SimulatedCluster
 from tests.user_requests import UNIFORM_JOB
@@ -46,7 +46,7 @@
 
 
 def test_without_checkpoint_preemption_others_wait(monkeypatch):
-    monkeypatch.setattr(Preemption, "_has_checkpoints", lambda self, task: False)
+    monkeypatch.setattr(PreemptionPlanner, "_has_checkpoints", lambda self, task: False)
     waits = [max(_waits_beside_long_work(seed)) for seed in range(3)]
     assert max(waits) > 20.0
 
@@ -54,8 +54,8 @@
 def test_delayed_checkpoint_preemption_makes_others_wait(monkeypatch):
     monkeypatch.setattr(CandidateSelection, "may_preempt_checkpointing", lambda self, candidate: False)
     monkeypatch.setattr(
-        Preemption,
-        "scope_of",
+        PreemptionPlanner,
+        "allowed_scope",
         lambda self, request: PreemptionScope.ANY if request.may_preempt else PreemptionScope.NONE,
     )
     waits = [max(_waits_beside_long_work(seed)) for seed in range(3)]
