--- a/tealhook/fleet/manager.py
+++ b/tealhook/fleet/manager.py
@@ -80,13 +80,13 @@
         self._release(now)
         self._list_when_due(now)
 
-    def plan(
+    def scale(
         self,
         states: dict[str, mesh_wire.MachineState],
         usage: list[mesh_wire.TeamUsage],
         demand: list[mesh_wire.Demand],
         zones: set[str],
-        ordinary_for: NonSpotDemand | None = None,
+        non_spot_demand: NonSpotDemand | None = None,
     ) -> None:
         """Compare what is up with what is wanted; rent or drain. Called with what all nodes tell.
 
@@ -101,7 +101,7 @@
         ):
             return
         now = self._effects.now()
-        self._last_view = FleetView(states, usage, demand, ordinary_for or NonSpotDemand())
+        self._last_view = FleetView(states, usage, demand, non_spot_demand or NonSpotDemand())
         self._watch_health(states, zones, now)
         self._balance(self._last_view, now)
 
--- a/tealhook/gossip/sender.py
+++ b/tealhook/gossip/sender.py
@@ -92,6 +92,6 @@
 
     def _plan_fleet(self, now: float) -> None:
         snapshot = self._fleet_inputs.snapshot(now)
-        self._sources.fleet_manager.plan(
+        self._sources.fleet_manager.scale(
             snapshot.machines, snapshot.usage, snapshot.demand, snapshot.zones, snapshot.non_spot_demand
         )
--- a/tealhook/placement/__init__.py
+++ b/tealhook/placement/__init__.py
@@ -1,6 +1,14 @@
 """Placement: run-time estimates, the feedback factor and min-min. Pure functions and small values, no I/O."""
 
 from tealhook.placement.feedback import Feedback, PlacementEstimate
-from tealhook.placement.minmin import NEVER_S, Choice, Group, PartitionView, plan_cycle
+from tealhook.placement.minmin import NO_CAPACITY_S, PartitionView, PlacementChoice, TaskGroup, plan_cycle
 
-__all__ = ["NEVER_S", "Choice", "Feedback", "Group", "PartitionView", "PlacementEstimate", "plan_cycle"]
+__all__ = [
+    "NO_CAPACITY_S",
+    "Feedback",
+    "PartitionView",
+    "PlacementChoice",
+    "PlacementEstimate",
+    "TaskGroup",
+    "plan_cycle",
+]
--- a/tealhook/placement/minmin.py
+++ b/tealhook/placement/minmin.py
@@ -13,7 +13,7 @@
 
 from tealhook.placement.feedback import MIN_ESTIMATE_S
 
-NEVER_S = 1e8  # a partition whose next capacity is this far off will have none
+NO_CAPACITY_S = 1e8  # a partition whose next capacity is this far off will have none
 MAX_CHOICES = 64  # of one plan: what is planned later would rest on stale answers anyway
 ROUND_UP = 0.999  # added before truncation: part of a task takes the capacity of a whole one
 
@@ -33,7 +33,7 @@
 
 
 @dataclass(slots=True)
-class Group:
+class TaskGroup:
     """Mappable tasks of one job."""
 
     job: str
@@ -49,25 +49,25 @@
 
 
 @dataclass(slots=True)
-class Choice:
+class PlacementChoice:
     """`count` tasks of a group for one partition.
 
     `awaits_capacity`: nothing can start there yet; capacity is reserved for them as it becomes free.
     """
 
-    group: Group
+    group: TaskGroup
     zone: str
     count: int
     finish_s: float
     awaits_capacity: bool = False
 
 
-def estimate_finish_s(view: PartitionView, group: Group, free_s: float, fetch_s: float) -> float:
+def estimate_finish_s(view: PartitionView, group: TaskGroup, free_s: float, fetch_s: float) -> float:
     """Earliest free time plus (1 + factor) x (fetch + run): the paper's equation 8."""
     return free_s + (1.0 + view.feedback_factor) * max(MIN_ESTIMATE_S, fetch_s + group.run_s)
 
 
-def _choose_free(group: Group, zone: str) -> Choice | None:
+def _choose_free(group: TaskGroup, zone: str) -> PlacementChoice | None:
     """The tasks of a group that would finish earliest on what is free in a partition now, if anything is."""
     view = group.partitions[zone]
     allowed = group.zone_limits.get(zone, group.count)
@@ -80,22 +80,22 @@
         finish_s = estimate_finish_s(view, group, 0.0, group.image_gb / view.fetch_gb_per_s)
     else:
         return None
-    return Choice(group, zone, min(group.count, available, allowed), finish_s)
+    return PlacementChoice(group, zone, min(group.count, available, allowed), finish_s)
 
 
-def _choose_next_free(group: Group, zone: str) -> Choice | None:
+def _choose_next_free(group: TaskGroup, zone: str) -> PlacementChoice | None:
     """All tasks of a group, for the next capacity that a partition will have, if any is in sight."""
     view = group.partitions[zone]
-    if view.next_free_s >= NEVER_S or group.zone_limits.get(zone, group.count) <= 0:
+    if view.next_free_s >= NO_CAPACITY_S or group.zone_limits.get(zone, group.count) <= 0:
         return None
     fetch_s = group.image_gb / view.fetch_gb_per_s if not view.cached else 0.0
     finish_s = estimate_finish_s(view, group, view.next_free_s, fetch_s)
-    return Choice(group, zone, group.count, finish_s, awaits_capacity=True)
+    return PlacementChoice(group, zone, group.count, finish_s, awaits_capacity=True)
 
 
-def _choose_partition(group: Group) -> Choice | None:
+def _choose_partition(group: TaskGroup) -> PlacementChoice | None:
     """The partition where tasks of a group would finish earliest; of equal ones, the first by zone."""
-    best: Choice | None = None
+    best: PlacementChoice | None = None
     free = {zone: _choose_free(group, zone) for zone in sorted(group.partitions)}
     # To reserve capacity or to preempt for it makes sense only where none is free anywhere: when a partition's next
     # capacity is free is an estimate, and a job's last task once waited minutes for some that was always about to be.
@@ -120,7 +120,7 @@
         view.cached = max(0, view.cached - (count - taken))
 
 
-def _equivalent_count(chosen: Group, count: int, other: Group) -> int:
+def _equivalent_count(chosen: TaskGroup, count: int, other: TaskGroup) -> int:
     """The capacity of `count` tasks of one group, in tasks of another."""
     ratio = max(
         (ours / theirs for ours, theirs in zip(chosen.resources, other.resources, strict=True) if theirs > 0),
@@ -129,7 +129,7 @@
     return int(count * ratio + ROUND_UP)
 
 
-def _apply(choice: Choice, groups: list[Group]) -> None:
+def _apply(choice: PlacementChoice, groups: list[TaskGroup]) -> None:
     """Count a choice of free capacity against what every group believes of that partition."""
     group, zone, count = choice.group, choice.zone, choice.count
     was_cached = group.partitions[zone].cached > 0
@@ -146,7 +146,7 @@
     group.count -= count
 
 
-def _apply_awaited(choice: Choice, groups: list[Group]) -> bool:
+def _apply_awaited(choice: PlacementChoice, groups: list[TaskGroup]) -> bool:
     """Count a choice of capacity that is not free yet; returns whether its group has nothing more to place.
 
     Nothing of this group can start where it would finish first: one task waits for the partition's next capacity, which
@@ -162,11 +162,11 @@
         exhausted = group.count <= 0
     for other in groups:
         if choice.zone in other.partitions:
-            other.partitions[choice.zone].next_free_s = NEVER_S
+            other.partitions[choice.zone].next_free_s = NO_CAPACITY_S
     return exhausted
 
 
-def _earliest(choices: Iterable[Choice | None]) -> Choice | None:
+def _earliest(choices: Iterable[PlacementChoice | None]) -> PlacementChoice | None:
     """The choice with the earliest estimated finish; equal ones go by job and zone, so that runs can be repeated."""
     return min(
         (choice for choice in choices if choice is not None),
@@ -175,9 +175,9 @@
     )
 
 
-def plan_cycle(groups: list[Group], max_choices: int = MAX_CHOICES) -> list[Choice]:
+def plan_cycle(groups: list[TaskGroup], max_choices: int = MAX_CHOICES) -> list[PlacementChoice]:
     """Choices in the order in which they were made; at most `max_choices` of them."""
-    choices: list[Choice] = []
+    choices: list[PlacementChoice] = []
     for rank in sorted({group.rank for group in groups}):
         open_groups = [group for group in groups if group.rank == rank and group.count > 0]
         while open_groups and len(choices) < max_choices:
--- a/tealhook/scheduling/planning.py
+++ b/tealhook/scheduling/planning.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass, field
 
 from tealhook.jobs.team import TeamState
-from tealhook.placement import NEVER_S, Choice, Group, PartitionView, plan_cycle
+from tealhook.placement import NO_CAPACITY_S, PartitionView, PlacementChoice, TaskGroup, plan_cycle
 from tealhook.scheduling.candidates import Candidate, CandidateSelection
 from tealhook.state_store import CallPriority, StateClient
 from tealhook.wire import mesh as wire
@@ -45,7 +45,7 @@
     """Capacity that is to be reserved for tasks of a candidate in one zone."""
 
     candidate: Candidate
-    choice: Choice
+    choice: PlacementChoice
 
     @property
     def zone(self) -> str:
@@ -70,7 +70,7 @@
     def plan(self, inquiry: Inquiry, now: float) -> list[PlannedReservation]:
         """The reservations to ask for, in the order in which they were chosen."""
         positions = {requirements: i for i, requirements in enumerate(inquiry.requirements)}
-        groups: list[Group] = []
+        groups: list[TaskGroup] = []
         by_job: dict[str, Candidate] = {}
         for candidate in inquiry.candidates:
             if candidate.job.spec is None or self._teams.get(candidate.team.name) is not candidate.team:
@@ -84,7 +84,7 @@
         planned = (PlannedReservation(by_job[choice.group.job], choice) for choice in choices)
         return [reservation for reservation in planned if self._is_wanted(reservation)]
 
-    def _group(self, candidate: Candidate, capacities: dict[str, wire.Capacity], now: float) -> Group:
+    def _group(self, candidate: Candidate, capacities: dict[str, wire.Capacity], now: float) -> TaskGroup:
         """A candidate as min-min takes it, with what each partition has for it."""
         spec = candidate.spec
         selection = self._selection
@@ -96,7 +96,7 @@
                 capacities, key=lambda zone: (partitions[zone].cached + partitions[zone].uncached, zone), default=None
             )
             zone_limits |= {zone: 0 for zone in capacities if zone != best}
-        return Group(
+        return TaskGroup(
             job=candidate.job.id,
             count=candidate.count,
             rank=candidate.rank,
@@ -120,9 +120,11 @@
             )
         # A gang goes to one partition, once capacity for all of it is free there.
         total = capacity.cached + capacity.uncached
-        return PartitionView(0, total if total >= candidate.count else 0, NEVER_S, capacity.fetch_gb_per_s, factor)
+        return PartitionView(
+            0, total if total >= candidate.count else 0, NO_CAPACITY_S, capacity.fetch_gb_per_s, factor
+        )
 
-    def _limit_to_write_budget(self, choices: list[Choice]) -> list[Choice]:
+    def _limit_to_write_budget(self, choices: list[PlacementChoice]) -> list[PlacementChoice]:
         """The first choices, of no more jobs than can be made durable soon: one operation each."""
         max_jobs = max(1, self._store.available_writes(CallPriority.ASSIGN))
         jobs: set[str] = set()
@@ -146,7 +148,7 @@
         return not choice.awaits_capacity or choice.group.starving or choice.group.can_preempt
 
     @staticmethod
-    def _log_groups(groups: list[Group], by_job: dict[str, Candidate]) -> None:
+    def _log_groups(groups: list[TaskGroup], by_job: dict[str, Candidate]) -> None:
         if not log.isEnabledFor(logging.DEBUG):
             return
         for group in groups:
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -5,7 +5,7 @@
 import pytest
 
 from tealhook.loop import TokenBucket
-from tealhook.placement import Feedback, Group, PartitionView, PlacementEstimate, plan_cycle
+from tealhook.placement import Feedback, PartitionView, PlacementEstimate, TaskGroup, plan_cycle
 from tealhook.placement.minmin import estimate_finish_s
 
 
@@ -14,7 +14,7 @@
 
 
 def group(job, count, partitions, run_s=10.0, rank=(0,), image_gb=2.0, **more):
-    return Group(job, count, rank, image_gb, run_s, (1.0, 0.0, 1.0), partitions, **more)
+    return TaskGroup(job, count, rank, image_gb, run_s, (1.0, 0.0, 1.0), partitions, **more)
 
 
 def test_feedback_follows_published_equation():
