--- a/tealhook/partitions/worker_calls.py
+++ b/tealhook/partitions/worker_calls.py
@@ -49,7 +49,7 @@
         commands are sent this way, since they could be executed minutes late.
         """
         now = self._effects.now()
-        if now - self._state.owned_at < FIRST_CALL_DELAY_PERIODS * self._workers.report_s:
+        if now - self._state.owned_since < FIRST_CALL_DELAY_PERIODS * self._workers.report_s:
             return
         for name, address in addresses.items():
             if self._is_reconciled(name):
