--- a/tests/test_command_loss.py
+++ b/tests/test_command_loss.py
@@ -1,4 +1,4 @@
-"""Machines that lose commands, duplicate heartbeats, and controllers that cannot reach each other."""
+"""Machines that lose commands, duplicated heartbeats, and controllers that cannot reach each other."""
 
 import pytest
 
@@ -12,8 +12,8 @@
 from tests.user_requests import UNCONSTRAINED_JOB
 
 
-def _busy_cluster(seed: int, jobs: int = 30, **over) -> SimulatedCluster:
-    cluster = SimulatedCluster(seed, cpu_limit=64.0, **over)
+def _busy_cluster(seed: int, jobs: int = 30, **overrides) -> SimulatedCluster:
+    cluster = SimulatedCluster(seed, cpu_limit=64.0, **overrides)
     for i in range(jobs):
         cluster.call_later(3.0 * i, lambda: cluster.submit(plays=12, vcpus=2.0, expected_s=6.0, **UNCONSTRAINED_JOB))
     cluster.run(40.0)
@@ -21,6 +21,7 @@
 
 
 def _cluster_with_command_loss(seconds: float) -> tuple[SimulatedCluster, str]:
+    """Run a cluster in which the busiest machine receives no commands for a time; return it and the machine."""
     cluster = _busy_cluster(21, jobs=45)
     name = max(cluster.cloud.machines, key=lambda name: len(cluster.cloud.machines[name].started_tasks()))
     cluster.network.command_blackholes.add(name)
@@ -31,17 +32,17 @@
 
 @pytest.mark.parametrize("leases", [0.5, 2.5, 100.0])
 def test_machine_that_loses_commands_gets_no_more_tasks(leases):
-    """Guards against a machine that loses start commands for ever: its heartbeats prove each time that the tasks
-    are not there, so that they are placed again, on the same machine, which has the most free capacity."""
+    """Guards against placing tasks again and again on a machine that loses their start commands: its heartbeats prove
+    that the tasks are not there, and it has the most free capacity."""
     lease_s = 9.0
     cluster, name = _cluster_with_command_loss(leases * lease_s)
     assert cluster.unfinished_jobs() == []
-    assert cluster.network.lost_starts <= 40  # what was on its way, a few times
+    assert cluster.network.lost_starts <= 40  # those in flight, each sent a few times
     if leases > 10:
         assert name not in cluster.cloud.machines
 
 
-def test_without_command_loss_detection_tasks_are_sent_in_vain(monkeypatch):
+def test_without_command_loss_detection_start_commands_keep_being_lost(monkeypatch):
     monkeypatch.setattr(MachineHealth, "mark_commands_lost", lambda self, machine, now: None)
     cluster, _name = _cluster_with_command_loss(900.0)
     assert cluster.network.lost_starts > 40
@@ -57,37 +58,42 @@
 
 
 def _duplicate_heartbeats(cluster: SimulatedCluster) -> tuple[Controller, str, list[bytes]]:
-    """The owner of a machine, the machine, and copies of its heartbeats."""
+    """Return the owner of a machine, the machine's name, and copies of the heartbeats that it sent to the owner."""
     duplicates: list[tuple[str, bytes]] = []
-    whole = PartitionManager.on_heartbeat
+    original = PartitionManager.on_heartbeat
 
-    def report(self, body, reply, *, relayed=False):
+    def on_heartbeat(self, body, reply, *, relayed=False):
         duplicates.append((self._ownership.node, body))
-        whole(self, body, reply, relayed=relayed)
+        original(self, body, reply, relayed=relayed)
 
-    PartitionManager.on_heartbeat = report
+    PartitionManager.on_heartbeat = on_heartbeat
     try:
         cluster.run(10.0)
     finally:
-        PartitionManager.on_heartbeat = whole
+        PartitionManager.on_heartbeat = original
     node, zone = next(
-        (n, z)
-        for n in cluster.controllers
-        for z, p in cluster.controllers[n].partition_manager.partitions.items()
-        if p.machines
+        (node, zone)
+        for node in cluster.controllers
+        for zone, partition in cluster.controllers[node].partition_manager.partitions.items()
+        if partition.machines
     )
     name = next(iter(cluster.controllers[node].partition_manager.partitions[zone].machines))
-    return cluster.controllers[node], name, [b for n, b in duplicates if n == node and f'"{name}"'.encode() in b]
+    return (
+        cluster.controllers[node],
+        name,
+        [body for receiver, body in duplicates if receiver == node and f'"{name}"'.encode() in body],
+    )
 
 
 def _accept_duplicates(patch):
-    whole = Partition.on_heartbeat
+    """Disable the check of session and sequence number that rejects old heartbeats."""
+    original = Partition.on_heartbeat
 
     def on_heartbeat(self, heartbeat):
         machine = self.machines.get(heartbeat.machine)
         if machine is not None:
             machine.sequence, machine.session = -1, heartbeat.session
-        return whole(self, heartbeat)
+        return original(self, heartbeat)
 
     patch.setattr(Partition, "on_heartbeat", on_heartbeat)
 
@@ -95,8 +101,8 @@
 @pytest.mark.parametrize("disabled", [False, True])
 def test_duplicate_heartbeat_changes_no_state(disabled, monkeypatch):
     owner, name, duplicates = _duplicate_heartbeats(cluster := _busy_cluster(22))
-    part = next(p for p in owner.partition_manager.partitions.values() if name in p.machines)
-    machine = part.machines[name]
+    partition = next(p for p in owner.partition_manager.partitions.values() if name in p.machines)
+    machine = partition.machines[name]
     cluster.cloud.machines[name].hung = True
     cluster.run(3.0)
     before = (
@@ -106,8 +112,8 @@
         set(machine.tasks),
         set(machine.reservations),
     )
-    told = []
-    part.status_updates._observer = StatusUpdateRecorder(told)
+    published = []
+    partition.status_updates._observer = StatusUpdateRecorder(published)
     assert len(duplicates) > 3
     if disabled:
         _accept_duplicates(monkeypatch)
@@ -120,7 +126,7 @@
         set(machine.tasks),
         set(machine.reservations),
     )
-    assert (before == after) == (told == []) == (not disabled)
+    assert (before == after) == (published == []) == (not disabled)
 
 
 @pytest.mark.parametrize("disabled", [False, True])
@@ -134,31 +140,32 @@
         node.partition_manager.remove_machine(name)
     for body in duplicates:
         _send_heartbeat(owner, body)
-    assert any(name in part.machines for part in owner.partition_manager.partitions.values()) == disabled
+    assert any(name in partition.machines for partition in owner.partition_manager.partitions.values()) == disabled
 
 
 def test_new_owner_does_not_trust_duplicate_heartbeats():
-    """A restarted owner has no memory of releases; a copy can't carry its token, and so is not counted on."""
+    """Guards against a restarted owner, which does not remember released machines, placing tasks on one because of a
+    duplicate of its heartbeat; the duplicate cannot carry the new token."""
     owner, name, duplicates = _duplicate_heartbeats(cluster := _busy_cluster(24))
     cluster.cloud.remove(name)
-    restarted = next(n for n, node in cluster.controllers.items() if node is owner)
+    restarted = next(node_name for node_name, node in cluster.controllers.items() if node is owner)
     cluster.crash(restarted, 0.2)
     cluster.run(8.0)
     for node in cluster.controllers.values():
         for body in duplicates:
             _send_heartbeat(node, body)
-        for part in node.partition_manager.partitions.values():
-            assert name not in [state.name for state in part.machine_states()]
-            assert name not in [machine.name for machine in part.reservations.schedulable_machines()]
+        for partition in node.partition_manager.partitions.values():
+            assert name not in [state.name for state in partition.machine_states()]
+            assert name not in [machine.name for machine in partition.reservations.schedulable_machines()]
 
 
 @pytest.mark.parametrize("disabled", [False, True])
 def test_jobs_progress_while_controllers_cannot_reach_each_other(disabled, monkeypatch):
-    if disabled:  # a node that reaches no partition keeps its teams
+    if disabled:  # a node keeps its teams although it reaches no partition
         monkeypatch.setattr(KeyClaims, "_reaches_no_partition", lambda self, now: False)
     cluster = _busy_cluster(25)
     cluster.network.cut_peers()
-    cluster.run(12.0)  # time for a team to move to a node that reaches a partition
+    cluster.run(12.0)  # until the teams have moved to nodes that reach a partition
     jobs = [
         cluster.submit(crew=f"team-{team}", plays=2, vcpus=1.0, expected_s=3.0, **UNCONSTRAINED_JOB)
         for team in range(3)
@@ -171,13 +178,13 @@
 
 
 def test_every_accepted_job_is_known_after_all_controllers_restart():
-    """One by one, also those long over."""
+    """Reads each job by its id, including jobs that ended long before the restart."""
     cluster = _busy_cluster(26)
     cluster.run(60.0)
     for name in cluster.node_names:
         cluster.crash(name, 0.2)
     cluster.run(20.0)
-    answered: dict[str, str] = {}
+    answered: dict[str, str] = {}  # job -> status
     for job, known in cluster.jobs.items():
         if known.accepted:
 
--- a/tests/test_suspended_process.py
+++ b/tests/test_suspended_process.py
@@ -1,4 +1,4 @@
-"""Controllers that are suspended while their clocks run on, and machines that hang past their lease."""
+"""Controllers that are suspended while their clocks advance, and machines that hang beyond their lease."""
 
 import pytest
 
@@ -18,16 +18,16 @@
 
 
 @pytest.mark.parametrize("leases", [0.2, 1.2, 3.0])
-def test_suspended_controller_fails_over_and_resumes_harmlessly(leases):
+def test_jobs_finish_although_controllers_are_suspended_in_turn(leases):
     cluster = _busy_cluster(3)
-    for name in cluster.node_names:  # one after the other, each with what it owns
+    for name in cluster.node_names:
         cluster.suspend(name, leases * LEASE_S)
         cluster.run(leases * LEASE_S + 12.0)
     cluster.run(200.0)
     assert cluster.unfinished_jobs() == []
 
 
-def test_all_controllers_suspended_at_once():
+def test_jobs_finish_although_all_controllers_are_suspended_at_once():
     cluster = _busy_cluster(5)
     for name in cluster.node_names:
         cluster.suspend(name, 2 * LEASE_S)
@@ -35,17 +35,17 @@
     assert cluster.unfinished_jobs() == []
 
 
-def _calls_without_the_fleet(monkeypatch) -> int:
-    """Rentals and returns asked for by a node that had stood still, and did not own the fleet any more."""
-    wrong = 0
-    whole = SimulatedEffects.cloud
+def _count_cloud_calls_without_ownership(monkeypatch) -> int:
+    """Count the rentals and returns requested by a resumed node that no longer owned the fleet."""
+    count = 0
+    original = SimulatedEffects.cloud
 
     def cloud(self, method, target, body, timeout, answer):
-        nonlocal wrong
+        nonlocal count
         row = self.cluster.state.rows.get(FLEET_KEY)
         if method == "POST" and row is not None and row[0]["n"] != self.name:
-            wrong += 1
-        whole(self, method, target, body, timeout, answer)
+            count += 1
+        original(self, method, target, body, timeout, answer)
 
     monkeypatch.setattr(SimulatedEffects, "cloud", cloud)
     for seed in range(11, 14):
@@ -53,24 +53,25 @@
         for _ in range(3):
             owner = next(name for name, node in cluster.controllers.items() if node.ownership.own_token(FLEET_KEY))
             for worker in list(cluster.cloud.machines.values())[:3]:
-                worker.fail()  # there is always something to release and to rent
+                worker.fail()  # so that there are machines to release and to rent
             cluster.suspend(owner, 1.5 * LEASE_S)
             cluster.run(1.5 * LEASE_S + 12.0)
-    return wrong
+    return count
 
 
 def test_resumed_controller_makes_no_cloud_calls_without_ownership(monkeypatch):
-    assert _calls_without_the_fleet(monkeypatch) == 0
+    assert _count_cloud_calls_without_ownership(monkeypatch) == 0
 
 
-def test_ignoring_suspension_makes_calls_without_ownership(monkeypatch):
+def test_resumed_controller_that_ignores_its_suspension_makes_cloud_calls_without_ownership(monkeypatch):
     monkeypatch.setattr(Ownership, "lease_uncertain", property(lambda self: False))
-    assert _calls_without_the_fleet(monkeypatch) > 0
+    assert _count_cloud_calls_without_ownership(monkeypatch) > 0
 
 
 @pytest.mark.parametrize("leases", [0.7, 2.5])
 def test_many_hung_machines_resume(leases):
-    """Within their lease they go on with what they had; past it their later shift, or the release, is the proof."""
+    """Machines that resume within their lease continue their tasks. After it, their new session or their release proves
+    that the tasks are gone, so that they can restart."""
     cluster = _busy_cluster(15)
     machines = [worker for worker in cluster.cloud.machines.values() if worker.up]
     for worker in machines[: max(2, len(machines) * 2 // 3)]:
