--- a/tealhook/partitions/__init__.py
+++ b/tealhook/partitions/__init__.py
@@ -1,4 +1,4 @@
-"""Partitions: the machines of one zone, their heartbeats, capacity, commands and drain."""
+"""Partitions: the machines of a zone with their heartbeats, capacity, commands and draining."""
 
 from tealhook.partitions.manager import PartitionManager
 
--- a/tealhook/partitions/capacity.py
+++ b/tealhook/partitions/capacity.py
@@ -1,4 +1,4 @@
-"""What is free on a machine now, and when more should be: by its tasks, its reservations and their estimates."""
+"""Free resources of machines: now, and later by the estimates of their tasks."""
 
 from __future__ import annotations
 
@@ -10,22 +10,22 @@
 
 
 class MachineCapacity:
-    """Computes the free resources of machines; each result is kept with its machine until something changes there."""
+    """Computes the free resources of machines, and caches each result on its machine until something changes there."""
 
     def __init__(self, state: PartitionState, launched_jobs: LaunchedJobs) -> None:
-        """Resources of tasks are taken from `launched_jobs`, estimates from the job index."""
+        """Initialize with `launched_jobs` for the resources of tasks; estimates come from the job index."""
         self._job_index = state.job_index
         self._machine_types = state.machine_types
         self._launched_jobs = launched_jobs
 
     def free_resources(self, machine: Machine) -> Resources:
-        """What is free on a machine; tasks that yield to a reservation do not count."""
+        """Return the free resources of a machine; tasks that yield to a reservation do not count as using any."""
         if machine.free_resources is not None:
             return machine.free_resources
         machine_type = self._machine_types.get(machine.machine_type)
         if machine_type is None:
             return NO_RESOURCES
-        # In plain variables: a value for each step would cost more than all the rest.
+        # Plain variables: creating a `Resources` in each step would cost more than everything else here.
         vcpus, gpus, memory_gb = machine_type.resources
         for task in machine.tasks.values():
             if task.status == TaskStatus.EXITED or task.yields_to:
@@ -33,7 +33,7 @@
             if task.resources is None:
                 task.resources = self._launched_jobs.task_resources(task.job)
                 if task.resources is None:
-                    return NO_RESOURCES  # a task that nobody here knows: give nothing until it is known
+                    return NO_RESOURCES  # until its job is known, the task may use everything
             used = task.resources
             vcpus, gpus, memory_gb = vcpus - used[0], gpus - used[1], memory_gb - used[2]
         for reservation in machine.reservations.values():
@@ -43,50 +43,50 @@
         return machine.free_resources
 
     def compute_fit(self, machine: Machine, required: Resources) -> TaskFit:
-        """Tasks of `required` that fit a machine now; if none does, from when one should.
+        """Return how many tasks of `required` fit on a machine now, or else from when one is expected to fit.
 
-        Kept with the machine: otherwise one change anywhere has all machines of the partition looked through anew.
+        The result is cached on the machine, so that one change does not cause a scan of all machines of the partition.
         """
         count = count_fitting(self.free_resources(machine), required)
-        fit = (count, 0.0 if count else self.free_at(machine, required))
-        if machine.free_resources is not None:  # else it has a task that nobody here knows yet
+        fit = (count, 0.0 if count else self.estimate_free_at(machine, required))
+        if machine.free_resources is not None:  # None: the machine's type or the job of a task is not known yet
             machine.fit_cache[required] = fit
         return fit
 
-    def free_at(self, machine: Machine, required: Resources) -> float:
-        """When a task of `required` should fit, by the estimates of what is on the machine."""
-        # In plain variables, as above: with every change of a machine this is done for each kind of waiting task.
+    def estimate_free_at(self, machine: Machine, required: Resources) -> float:
+        """Return when a task of `required` should fit, by the estimates of the tasks on the machine."""
+        # Plain variables as above: this runs for each kind of waiting task whenever a machine changes.
         vcpus, gpus, memory_gb = self.free_resources(machine)
-        least_vcpus, least_gpus, least_memory_gb = required
-        for at, freed in self._expected_ends(machine):
+        required_vcpus, required_gpus, required_memory_gb = required
+        for ends_at, freed in self._expected_ends(machine):
             vcpus, gpus, memory_gb = vcpus + freed[0], gpus + freed[1], memory_gb + freed[2]
             if (
-                least_vcpus <= vcpus + EPSILON
-                and least_gpus <= gpus + EPSILON
-                and least_memory_gb <= memory_gb + EPSILON
+                required_vcpus <= vcpus + EPSILON
+                and required_gpus <= gpus + EPSILON
+                and required_memory_gb <= memory_gb + EPSILON
             ):
-                return at
+                return ends_at
         return NEVER_S
 
-    def empty_in(self, machine: Machine, now: float) -> float:
-        """Estimated seconds until what is on a machine has ended."""
+    def estimate_empty_s(self, machine: Machine, now: float) -> float:
+        """Return the estimated seconds until the tasks and reservations on a machine have ended."""
         ends = self._expected_ends(machine)
-        left_s = max(0.0, ends[-1].at - now) if ends else 0.0
+        remaining_s = max(0.0, ends[-1].at - now) if ends else 0.0
         for reservation in machine.reservations.values():
             entry = self._job_index.active.get(reservation.job)
-            left_s = max(left_s, entry.spec.estimated_run_s if entry is not None else 0.0)
-        return left_s
+            remaining_s = max(remaining_s, entry.spec.estimated_run_s if entry is not None else 0.0)
+        return remaining_s
 
     def _expected_ends(self, machine: Machine) -> list[ExpectedEnd]:
-        """When the tasks on a machine should end, by their own estimates, and what each frees; the earliest first."""
+        """Return the estimated ends of the tasks on a machine, earliest first, with the resources that each frees."""
         if machine.expected_ends is None:
             machine.expected_ends = []
             for task in machine.tasks.values():
                 entry = self._job_index.active.get(task.job)
                 if task.alive and entry is not None and not task.yields_to:
-                    began_at = task.running_since or task.since
+                    started_at = task.running_since or task.since
                     machine.expected_ends.append(
-                        ExpectedEnd(began_at + entry.spec.estimated_run_s, entry.spec.resources)
+                        ExpectedEnd(started_at + entry.spec.estimated_run_s, entry.spec.resources)
                     )
             machine.expected_ends.sort()
         return machine.expected_ends
--- a/tealhook/partitions/capacity_holds.py
+++ b/tealhook/partitions/capacity_holds.py
@@ -1,4 +1,4 @@
-"""Capacity held for starving tasks: a machine that will be free for one of them first is given to nobody else."""
+"""Machines held for starving tasks: the one that should be free first is given to no other job that is not starving."""
 
 from __future__ import annotations
 
@@ -7,20 +7,23 @@
 from tealhook.wire import mesh
 from tealhook.wire.common import Resources
 
-HOLD_PERIODS = 2  # heartbeat periods; the hold of a job that is not requested any more ends soon
+HOLD_PERIODS = 2  # heartbeat periods; a hold ends soon after its job stops requesting capacity
 
 
 class CapacityHolds:
-    """Holds machines for starving tasks; each hold ends by itself unless it is renewed."""
+    """Holds machines for starving tasks; a hold expires unless it is renewed."""
 
     def __init__(self, capacity: MachineCapacity, report_s: float) -> None:
-        """`report_s`: the heartbeat period."""
+        """Initialize for a heartbeat period of `report_s`."""
         self._capacity = capacity
         self._hold_s = HOLD_PERIODS * report_s
 
     @staticmethod
     def blocks(machine: Machine, request: mesh.ReservationRequest, now: float) -> bool:
-        """Whether a machine is held for a starving task of another job."""
+        """Check whether a machine's hold for another job blocks a request, and remove the hold if it has expired.
+
+        Requests for starving tasks are not blocked.
+        """
         hold = machine.held_for
         if hold is None or hold.until < now:
             machine.held_for = None
@@ -28,18 +31,18 @@
         return hold.job != request.job and not request.starving
 
     def hold(self, job: str, required: Resources, candidates: list[Machine], now: float) -> None:
-        """Hold the machine that will be free for a starving task first, or renew the hold that its job has."""
+        """Hold the machine that should be free first for a starving task, or renew the hold that its job has."""
         for machine in candidates:
             if machine.held_for is not None and machine.held_for.job == job:
                 machine.held_for = CapacityHold(job, now + self._hold_s)
                 return
         not_held = [machine for machine in candidates if machine.held_for is None]
         if not_held:
-            first = min(not_held, key=lambda m: (max(now, self._capacity.free_at(m, required)), m.name))
-            first.held_for = CapacityHold(job, now + self._hold_s)
+            first_free = min(not_held, key=lambda m: (max(now, self._capacity.estimate_free_at(m, required)), m.name))
+            first_free.held_for = CapacityHold(job, now + self._hold_s)
 
     @staticmethod
     def release(machine: Machine, job: str) -> None:
-        """End the hold of a job on a machine: it has been given resources there."""
+        """End the hold of a job on a machine where the job has been granted resources."""
         if machine.held_for is not None and machine.held_for.job == job:
             machine.held_for = None
--- a/tealhook/partitions/grants.py
+++ b/tealhook/partitions/grants.py
@@ -1,6 +1,6 @@
-"""Reserve requests of teams' schedulers: which machines their tasks are granted, by packing, preemption and holds.
+"""Grants in answer to reserve requests of team schedulers, by packing, preemption and holds.
 
-A partition grants only what can start within one heartbeat period. Nothing in here is durable.
+A partition grants only capacity on which a task can start within one heartbeat period. Nothing here is durable.
 """
 
 from __future__ import annotations
@@ -23,7 +23,7 @@
 
 
 class _QueuedPlan(NamedTuple):
-    """A machine in the order of what preemption there throws away; `position` decides between equals."""
+    """A machine in a queue ordered by the work that preemption there would lose; `position` breaks ties."""
 
     lost_cpu_s: float
     position: int
@@ -31,12 +31,12 @@
 
 
 class ReservationGranter:
-    """Serves reserve requests."""
+    """Answers reserve requests with reservations on the machines of a partition."""
 
     def __init__(
         self, state: PartitionState, capacity: MachineCapacity, reservations: Reservations, fetch_rates: FetchRates
     ) -> None:
-        """Grants become `reservations`."""
+        """Initialize the granter, which adds what it grants to `reservations`."""
         self._effects = state.context.effects
         self._token = state.token
         self._capacity = capacity
@@ -46,7 +46,7 @@
         self._preemption_planner = PreemptionPlanner(state)
 
     def reserve(self, request: mesh.ReserveRequest) -> mesh.ReserveReply:
-        """Reserve capacity for each item of a request, in their order, on machines that can start the tasks at once."""
+        """Reserve capacity for the items of a request, in their order, on machines that can start tasks at once."""
         now = self._effects.now()
         packing = PackingOrder(self._reservations.schedulable_machines(), self._capacity.free_resources)
         grants: list[list[mesh.ReservationGrant]] = []
@@ -60,18 +60,18 @@
     def _grant(self, pending: PendingGrant) -> list[mesh.ReservationGrant]:
         request = pending.request
         self._grant_free(pending)
-        if pending.missing > 0:
+        if pending.missing_count > 0:
             scope = self._preemption_planner.allowed_scope(request)
             if scope is PreemptionScope.ANY:
                 self._preempt_cheapest(pending)
             elif scope is PreemptionScope.CHECKPOINTING:
                 self._preempt_checkpointing(pending)
-        if request.starving and pending.missing > 0:
+        if request.starving and pending.missing_count > 0:
             self._holds.hold(request.job, pending.required, list(self._candidates(pending)), pending.now)
         return pending.granted
 
     def _candidates(self, pending: PendingGrant) -> Iterator[Machine]:
-        """Machines that a request may go to, in the order of packing, whatever is free on them."""
+        """Return the machines that a request may use, in packing order, regardless of their free resources."""
         request, now, blocks = pending.request, pending.now, self._holds.blocks
         return (
             machine
@@ -82,17 +82,17 @@
         )
 
     def _grant_free(self, pending: PendingGrant) -> None:
-        """Grant what is free."""
+        """Grant resources that are free now."""
         chosen: list[tuple[Machine, int]] = []
-        missing = pending.missing
+        missing_count = pending.missing_count
         free_resources, required = pending.packing.free_resources, pending.required
         for machine in self._candidates(pending):
-            if missing <= 0:
+            if missing_count <= 0:
                 break
-            count = min(missing, count_fitting(free_resources(machine), required))
+            count = min(missing_count, count_fitting(free_resources(machine), required))
             if count:
                 chosen.append((machine, count))
-                missing -= count
+                missing_count -= count
         for machine, count in chosen:
             for _ in range(count):
                 self._add_grant(pending, machine, [])
@@ -112,16 +112,16 @@
         )
 
     def _preempt_cheapest(self, pending: PendingGrant) -> None:
-        """Preempt tasks of lower priority, or beyond another team's guarantee, those begun last first."""
-        # The least loss first. One choice changes its own machine, and what teams still run beyond their
-        # guarantees: so an offer is worked out again when its turn comes, not all of them each time.
+        """Preempt tasks of lower priority or beyond another team's guarantee, those that lose the least work first."""
+        # Each choice changes only its own machine and how far teams still exceed their guarantees. So a plan is
+        # computed again when it reaches the head of the queue, instead of all plans after each choice.
         queue: list[_QueuedPlan] = []
         for position, machine in enumerate(list(self._candidates(pending))):
             plan = self._preemption_planner.plan(machine, pending, PreemptionScope.ANY)
             if plan is not None:
                 queue.append(_QueuedPlan(plan.lost_cpu_s, position, machine))
         heapq.heapify(queue)
-        while queue and pending.missing > 0:
+        while queue and pending.missing_count > 0:
             queued = heapq.heappop(queue)
             machine = queued.machine
             plan = self._preemption_planner.plan(machine, pending, PreemptionScope.ANY)
@@ -130,22 +130,22 @@
             if plan.lost_cpu_s > queued.lost_cpu_s and queue and plan.lost_cpu_s > queue[0].lost_cpu_s:
                 heapq.heappush(queue, _QueuedPlan(plan.lost_cpu_s, queued.position, machine))
                 continue
-            self._preemption_planner.charge(pending.request, plan.victims)
+            self._preemption_planner.deduct_over_guarantee(pending.request, plan.victims)
             pending.packing.set_free_resources(machine, subtract(plan.free_resources, pending.required))
             self._add_grant(pending, machine, plan.victims)
             heapq.heappush(queue, queued)
 
     def _preempt_checkpointing(self, pending: PendingGrant) -> None:
-        """Preempt tasks of lower priority that have checkpoints, on the first machines that have such.
+        """Preempt checkpointing tasks of lower priority, on the first machines that have any.
 
-        All lose about as little, so the offers of hundreds of machines are not worked out for each task.
+        All of these tasks lose about equally little, so the plans of hundreds of machines are not compared per task.
         """
         for machine in list(self._candidates(pending)):
-            while pending.missing > 0:
+            while pending.missing_count > 0:
                 plan = self._preemption_planner.plan(machine, pending, PreemptionScope.CHECKPOINTING)
                 if plan is None:
                     break
                 pending.packing.set_free_resources(machine, subtract(plan.free_resources, pending.required))
                 self._add_grant(pending, machine, plan.victims)
-            if pending.missing <= 0:
+            if pending.missing_count <= 0:
                 return
--- a/tealhook/partitions/inquiries.py
+++ b/tealhook/partitions/inquiries.py
@@ -1,6 +1,6 @@
-"""Answers to capacity inquiries: how many tasks fit a partition now, and when the next one should.
+"""Capacity inquiries: the number of tasks that fit in a partition now, and the wait until the next one should fit.
 
-A partition counts only tasks that can start within one heartbeat period.
+Only tasks that can start within one heartbeat period are counted.
 """
 
 from __future__ import annotations
@@ -14,11 +14,11 @@
 from tealhook.partitions.state import PartitionState
 from tealhook.wire import mesh
 
-VIEW_PERIODS = 1 / 8  # of a heartbeat period, for which inquiries are answered from the same view
+VIEW_LIFETIME_PERIODS = 1 / 8  # heartbeat periods for which inquiries are answered from the same view
 
 
 class _RequirementsKey(NamedTuple):
-    """What decides where tasks fit: requirements that differ in the image or the priority alone share a view."""
+    """The requirements that decide where tasks fit; those that differ only in image or priority share a result."""
 
     vcpus: float
     gpus: float
@@ -28,47 +28,47 @@
 
 
 class _PartitionFit(NamedTuple):
-    """Where tasks of the same resources fit: at one moment, for the inquiries of a fraction of a heartbeat period."""
+    """The fit of tasks of equal resources at one moment, shared by the inquiries answered from one view."""
 
-    fitting: list[tuple[Machine, int]]  # machines on which tasks fit now, and how many
+    fitting: list[tuple[Machine, int]]  # machines on which tasks fit now, with the number of tasks
     next_free_s: float
     fetch_gb_per_s: float
 
 
 def allows_machine(requirements: mesh.TaskRequirements, machine: Machine) -> bool:
-    """Whether tasks may run on a machine at all, by its type and whether it is a spot machine."""
+    """Check whether tasks may run on a machine at all, by its type and whether it is a spot machine."""
     if machine.spot and not requirements.allows_spot:
         return False
     return not requirements.machine_types or machine.machine_type in requirements.machine_types
 
 
 class CapacityInquiries:
-    """Answers inquiries.
+    """Answers capacity inquiries.
 
-    They come several times a heartbeat period, from every team's scheduler, for every waiting job: what they have in
-    common is computed once, and kept while nothing changes.
+    Every team's scheduler inquires several times per heartbeat period for every waiting job. What these inquiries have
+    in common is computed once and kept while nothing changes.
     """
 
     def __init__(
         self, state: PartitionState, capacity: MachineCapacity, reservations: Reservations, fetch_rates: FetchRates
     ) -> None:
-        """The view is computed with the first inquiry."""
+        """Initialize without a view, which the first inquiry computes."""
         self._effects = state.context.effects
         self._workers = state.context.workers
         self._state = state
         self._capacity = capacity
         self._reservations = reservations
         self._fetch_rates = fetch_rates
-        self._machines: list[Machine] = []  # that can start tasks at once
+        self._schedulable_machines: list[Machine] = []
         self._fits: dict[_RequirementsKey, _PartitionFit] = {}
 
     def inquire(self, requirements: list[mesh.TaskRequirements]) -> mesh.CapacityReply:
-        """The earliest free time for tasks of each requirements: how many fit now, and when the next one should."""
+        """Return, for each of the requirements, how many tasks fit now and when the next one should."""
         now = self._effects.now()
         if now > self._state.capacity_view_valid_until:
-            self._machines = self._reservations.schedulable_machines()
+            self._schedulable_machines = self._reservations.schedulable_machines()
             self._fits.clear()
-            self._state.capacity_view_valid_until = now + self._workers.report_s * VIEW_PERIODS
+            self._state.capacity_view_valid_until = now + self._workers.report_s * VIEW_LIFETIME_PERIODS
         return mesh.CapacityReply(self._state.token, [self._capacity_for(required, now) for required in requirements])
 
     def _capacity_for(self, requirements: mesh.TaskRequirements, now: float) -> mesh.Capacity:
@@ -95,8 +95,8 @@
         required = required_resources(requirements)
         fitting: list[tuple[Machine, int]] = []
         machine_types: set[str] = set()
-        next_at = NEVER_S
-        for machine in self._machines:
+        next_free_at = NEVER_S
+        for machine in self._schedulable_machines:
             if not allows_machine(requirements, machine):
                 continue
             machine_types.add(machine.machine_type)
@@ -104,7 +104,7 @@
             if count:
                 fitting.append((machine, count))
             else:
-                next_at = min(next_at, free_at)
-        # What frees is known here with the machine's next heartbeat, half a period later on the average.
-        next_free_s = max(0.0, next_at - now) + self._workers.report_s / 2 if next_at < NEVER_S else NEVER_S
+                next_free_at = min(next_free_at, free_at)
+        # Freed resources are known here with the machine's next heartbeat, on average half a period later.
+        next_free_s = max(0.0, next_free_at - now) + self._workers.report_s / 2 if next_free_at < NEVER_S else NEVER_S
         return _PartitionFit(fitting, next_free_s, max(map(self._fetch_rates.gb_per_s, machine_types), default=0.0))
--- a/tealhook/partitions/interfaces.py
+++ b/tealhook/partitions/interfaces.py
@@ -1,4 +1,4 @@
-"""What a partition needs of the controller around it."""
+"""Interfaces that a partition needs from the controller around it."""
 
 from __future__ import annotations
 
@@ -8,43 +8,43 @@
 
 
 class PartitionObserver(Protocol):
-    """Hears what the machines' heartbeats show."""
+    """Receives what the heartbeats of machines show."""
 
     def publish_status(self, team: str, update: mesh.StatusUpdate) -> None:
         """Send a status update to the scheduler of a team."""
         ...
 
     def on_unknown_job(self, job: str) -> None:
-        """A machine has a task of a job that is neither in the job index nor was launched here."""
+        """Handle a job that a machine runs a task of, but that is not in the job index and was not launched here."""
         ...
 
     def on_unowned_zone(self, zone: str) -> None:
-        """A heartbeat names a zone whose partition this node does not own; it may be a new one."""
+        """Handle a zone, possibly a new one, that a heartbeat names and whose partition this node does not own."""
         ...
 
 
 class HeartbeatResponder(Protocol):
-    """Holds the machines' heartbeats that are not answered yet."""
+    """Holds heartbeats of machines open until they are answered."""
 
     def answer_now(self, machine: str) -> bool:
-        """Answer a machine's open heartbeat with the commands that there are; whether one was open."""
+        """Answer a machine's open heartbeat with the pending commands, and return False if none is open."""
         ...
 
     def must_not_launch(self) -> bool:
-        """Whether this node may own nothing any more, or knows too little of cancellations to start anything."""
+        """Check whether this node may have lost its partitions, or its view of cancellations is too old to launch."""
         ...
 
 
 class ConnectionLoad(Protocol):
-    """The server that workers and users share."""
+    """Load of the server whose connections workers and users share."""
 
     @property
     def crowded(self) -> bool:
-        """Whether connections are scarce."""
+        """True while connections are scarce."""
         ...
 
 
 class UnlimitedConnections:
-    """The load of a controller without a server of its own: connections are never scarce."""
+    """Load of a controller without a server of its own, whose connections are never scarce."""
 
     crowded = False
--- a/tealhook/partitions/manager.py
+++ b/tealhook/partitions/manager.py
@@ -1,4 +1,4 @@
-"""All partitions that this node owns, and its answers to the heartbeats of workers."""
+"""All partitions that this node owns, and the answers to the heartbeats of workers."""
 
 from __future__ import annotations
 
@@ -30,11 +30,11 @@
         self.heartbeat = heartbeat
         self.body = body
         self.reply = reply
-        self.timer = timer  # until it is answered in any case
+        self.timer = timer  # answers the heartbeat when its hold-open time ends
 
 
 class PartitionManager:
-    """Answers heartbeats for owned partitions; those of other partitions are redirected or relayed."""
+    """Answers heartbeats of owned partitions, and redirects or relays those of other partitions."""
 
     def __init__(
         self,
@@ -45,76 +45,76 @@
         machine_types: dict[str, MachineType],
         observer: PartitionObserver,
     ) -> None:
-        """No partition is owned yet; `observer` hears what heartbeats show."""
+        """Initialize without partitions; `observer` is notified of what heartbeats show."""
         self._context = context
         self._effects = context.effects
         self._ownership = ownership
         self._job_index = job_index
         self._machine_types = machine_types
         self._observer = observer
-        self.partitions: dict[str, Partition] = {}
-        self.over_guarantee_cpus_by_team: dict[
-            str, float
-        ] = {}  # team -> CPUs beyond its guarantee; kept up to date by gossip
-        self.connection_load: ConnectionLoad = UnlimitedConnections()  # until a server is there
+        self.partitions: dict[str, Partition] = {}  # by zone
+        self.over_guarantee_cpus_by_team: dict[str, float] = {}  # kept up to date by gossip
+        self.connection_load: ConnectionLoad = UnlimitedConnections()  # replaced when a server is started
         self._redirects = Redirects(context, ownership, mesh)
-        self._open_heartbeats: dict[str, _OpenHeartbeat] = {}  # machine -> its newest heartbeat, if not answered yet
-        self._released = ReleasedMachines(context)
+        self._open_heartbeats: dict[str, _OpenHeartbeat] = {}  # by machine; at most its newest one
+        self._released_machines = ReleasedMachines(context)
         workers = context.workers
-        # Once our view of cancellations is older than this, a task that was cancelled meanwhile must be
-        # left to die by its worker's lease: the lease ends at most lease_s after the last heartbeat that we
-        # answered was sent.
+        # With an older view of cancellations, heartbeats are not answered with 200: a task that was cancelled meanwhile
+        # must end with its worker's lease, which ends at most lease_s after the worker sent the last heartbeat that
+        # was answered.
         self._max_view_age_s = workers.cancel_s - CLOCK_DRIFT * workers.lease_s - workers.report_s / 4
-        every(context.effects, workers.lease_s / 8, self._probe)
+        every(context.effects, workers.lease_s / 8, self._probe_unresponsive)
 
-    def _probe(self) -> None:
+    def _probe_unresponsive(self) -> None:
         for partition in self.partitions.values():
             partition.probe_unresponsive()
 
     def on_ownership_change(self, zone: str, token: int | None) -> None:
-        """Begin to own a partition under a token, or stop to own it (None)."""
+        """Begin to own a partition under a token, or stop owning it if the token is None."""
         self.partitions.pop(zone, None)
         if token is not None:
             state = PartitionState(
                 self._context, zone, token, self._job_index, self._machine_types, self.over_guarantee_cpus_by_team
             )
             self.partitions[zone] = Partition(state, self._observer, self)
-        for name in [name for name, waiting in self._open_heartbeats.items() if waiting.heartbeat.zone == zone]:
+        for name in [
+            name for name, open_heartbeat in self._open_heartbeats.items() if open_heartbeat.heartbeat.zone == zone
+        ]:
             self.answer_now(name)
 
     def must_not_launch(self) -> bool:
-        """Whether we have stood still, or know too little of the latest cancellations to start anything.
+        """Check whether this process was suspended, or its view of cancellations is too old to start any task.
 
-        A node that the state service refuses alone goes on being told to launch by schedulers that it serves; what is
-        cancelled meanwhile it would start all the same. By then its lease has run out in any case.
+        A node that is the only one cut off from the state service still receives launch requests from schedulers on
+        other nodes, and would start tasks that have been cancelled meanwhile. By then its lease has expired anyway.
         """
         return self._ownership.lease_uncertain or self._job_index.watcher.age() > self._ownership.lease_ttl_s
 
     def is_unheard(self, zone: str | None) -> bool:
-        """Whether no worker of a zone that we own, or for None of any, has been heard of for longer than its lease."""
+        """Check whether no worker of an owned zone, or of any if `zone` is None, has been heard of for a lease."""
         partitions = (
             self.partitions.values() if zone is None else [self.partitions[zone]] if zone in self.partitions else []
         )
         return all(partition.is_silent for partition in partitions)
 
     def remove_machine(self, machine: str) -> None:
-        """Forget a machine that is released: it is gone for good."""
-        self._released.add(machine)
+        """Remove a released machine for good."""
+        self._released_machines.add(machine)
         for partition in self.partitions.values():
             partition.remove_machine(machine)
 
     def on_heartbeat(self, body: bytes, reply: Reply, *, relayed: bool = False) -> None:
-        """Take a worker's heartbeat, made to us or relayed by another node, and answer it now or later."""
+        """Process a worker's heartbeat, sent to this node or relayed by another, and answer it now or later."""
         try:
             heartbeat = wire.heartbeat_decoder.decode(body)
         except (msgspec.DecodeError, RecursionError) as exc:
             reply(400, error_body(str(exc)))
             return
-        if heartbeat.machine in self._released:
-            reply(503, error_body("released"))  # a late copy must not bring it back to life
+        if heartbeat.machine in self._released_machines:
+            reply(503, error_body("released"))  # a late copy of a heartbeat must not add the machine again
             return
         if heartbeat.machine in self._open_heartbeats:
-            self._abandon_older(heartbeat)
+            self._close_superseded(heartbeat)
         if not self._may_answer(heartbeat, body, reply, relayed=relayed):
             return
         self._redirects.forget(heartbeat.machine)
@@ -122,7 +122,7 @@
         if not partition.on_heartbeat(heartbeat):
             reply(200, partition.responses.body_for(None))
             return
-        # With all workers of a large fleet on one node, heartbeats held open would leave no connection to users.
+        # With all workers of a large fleet on one node, open heartbeats would leave no connections for users.
         hold_s = 0.0 if relayed or self.connection_load.crowded else partition.responses.hold_open_s(heartbeat.machine)
         if hold_s <= 0:
             reply(200, partition.responses.body_for(heartbeat.machine))
@@ -130,8 +130,11 @@
         timer = self._effects.later(hold_s, lambda: self.answer_now(heartbeat.machine))
         self._open_heartbeats[heartbeat.machine] = _OpenHeartbeat(heartbeat, body, reply, timer)
 
-    def _abandon_older(self, heartbeat: wire.Heartbeat) -> None:
-        """The worker has given up on the answer to an older heartbeat that is still open: no command may ride on it."""
+    def _close_superseded(self, heartbeat: wire.Heartbeat) -> None:
+        """Answer an open heartbeat with 503 if `heartbeat` is newer.
+
+        The worker no longer waits for the answer to the older one, so commands in it would be lost.
+        """
         older = self._open_heartbeats[heartbeat.machine]
         if (heartbeat.session, heartbeat.sequence) > (older.heartbeat.session, older.heartbeat.sequence):
             del self._open_heartbeats[heartbeat.machine]
@@ -139,17 +142,17 @@
             older.reply(503, error_body("a newer report has come"))
 
     def answer_now(self, machine: str) -> bool:
-        """Answer a machine's open heartbeat with the commands that there are; whether one was open."""
-        waiting = self._open_heartbeats.pop(machine, None)
-        if waiting is None:
+        """Answer a machine's open heartbeat with the pending commands, and return False if none is open."""
+        open_heartbeat = self._open_heartbeats.pop(machine, None)
+        if open_heartbeat is None:
             return False
-        waiting.timer.cancel()
-        if self._may_answer(waiting.heartbeat, waiting.body, waiting.reply, relayed=False):
-            waiting.reply(200, self.partitions[waiting.heartbeat.zone].responses.body_for(machine))
+        open_heartbeat.timer.cancel()
+        if self._may_answer(open_heartbeat.heartbeat, open_heartbeat.body, open_heartbeat.reply, relayed=False):
+            open_heartbeat.reply(200, self.partitions[open_heartbeat.heartbeat.zone].responses.body_for(machine))
         return True
 
     def _may_answer(self, heartbeat: wire.Heartbeat, body: bytes, reply: Reply, *, relayed: bool) -> bool:
-        """Whether we may answer a heartbeat with 200 now; if not, it has been answered otherwise."""
+        """Check whether this node may answer a heartbeat with 200 now; if not, redirect, relay or refuse it."""
         key = partition_key(heartbeat.zone)
         partition = self.partitions.get(heartbeat.zone)
         if partition is None:
@@ -157,7 +160,8 @@
             self._redirects.redirect(heartbeat, body, reply, self._ownership.owner(key), relayed=relayed)
             return False
         if heartbeat.fencing_token > partition.token:
-            # Somebody owns the partition by a higher token: a 200 of ours would be dropped and hold the worker.
+            # Another node owns the partition under a higher token. The worker would drop a 200 from this node, and
+            # lose time before it turns to the owner.
             owner = self._ownership.owner(key) if (self._ownership.token(key) or 0) >= heartbeat.fencing_token else None
             self._redirects.redirect(heartbeat, body, reply, owner, relayed=relayed)
             return False
--- a/tealhook/partitions/partition.py
+++ b/tealhook/partitions/partition.py
@@ -1,6 +1,6 @@
-"""The owner's side of one partition: its components, and what the controller asks of them.
+"""A partition on the side of its owner: its components, and the requests that the controller makes of them.
 
-Nothing in here is durable: a new owner learns everything from heartbeats made under its own token.
+Nothing here is durable: a new owner learns everything from heartbeats sent under its own token.
 """
 
 from __future__ import annotations
@@ -23,14 +23,14 @@
 from tealhook.wire import mesh
 from tealhook.wire import workers as wire
 
-SILENT_PARTITION_LEASES = 1.25  # a partition none of whose machines is heard of for so long may be out of our reach
+SILENT_PARTITION_LEASES = 1.25  # a partition without any heartbeat for this long may be unreachable from this node
 
 
 class Partition:
     """All machines of one zone, under one fencing token."""
 
     def __init__(self, state: PartitionState, observer: PartitionObserver, responder: HeartbeatResponder) -> None:
-        """No machine need be known yet: each is learned from its first heartbeat under the token."""
+        """Initialize the components; `state` may lack machines, which are learned from their first heartbeats."""
         self._effects = state.context.effects
         self._workers = state.context.workers
         self._state = state
@@ -53,67 +53,73 @@
     # -- heartbeats
 
     def on_heartbeat(self, heartbeat: wire.Heartbeat) -> bool:
-        """Take a heartbeat made to the owner; False when it is an old one. The caller has checked the tokens."""
+        """Process a heartbeat whose tokens the caller has checked, and return False if it is outdated."""
         return self._heartbeats.receive(heartbeat)
 
     # -- requests of the teams' schedulers
 
     def inquire(self, requirements: list[mesh.TaskRequirements]) -> mesh.CapacityReply:
-        """The earliest free time for tasks of each requirements: how many fit now, and when the next one should."""
+        """Return, for each of the requirements, how many tasks fit now and when the next one should."""
         return self._inquiries.inquire(requirements)
 
     def reserve(self, request: mesh.ReserveRequest) -> mesh.ReserveReply:
-        """Reserve capacity for each item of a request, in their order, on machines that can start the tasks at once."""
+        """Reserve capacity for the items of a request, in their order, on machines that can start tasks at once."""
         return self._granter.reserve(request)
 
     def reconcile(self, request: mesh.ReconcileRequest) -> mesh.ReconcileReply:
-        """Answer a team's scheduler; from here on, launches by earlier schedulers of that team are refused."""
+        """Answer a reconcile request of a team's scheduler.
+
+        From here on, launches by earlier schedulers of that team are refused.
+        """
         return self.status_updates.reconcile(request)
 
     def publish_requested(self, request: mesh.ReconcileRequest) -> None:
-        """Publish the machines of a reconcile request; to be sent after the reply, whose number they must exceed."""
+        """Publish status updates of the machines in a reconcile request.
+
+        This comes after the reply is sent, since their sequence numbers must exceed that of the reply.
+        """
         self.status_updates.publish_requested(request)
 
     def launch(self, request: mesh.LaunchRequest) -> mesh.LaunchReply:
-        """Use reservations after their assignment is durable. Each reservation serves once."""
+        """Launch tasks whose assignment is durable on their reservations, each of which can be used once."""
         return self.commands.launch(request)
 
     def stop(self, request: mesh.StopRequest) -> None:
-        """Stop or forget attempts on behalf of the team's present scheduler."""
+        """Stop or forget attempts on behalf of the team's current scheduler."""
         self.commands.stop(request)
 
     # -- the partition as a whole, and requests of the fleet manager
 
     def announce_token(self, addresses: dict[str, str]) -> None:
-        """Tell workers that have not come under our token of it, directly, so that they do."""
+        """Call workers that have not yet sent a heartbeat under the current token, to tell them the token."""
         self._worker_calls.announce_token(addresses)
 
     @property
     def is_silent(self) -> bool:
-        """Whether no machine, be there any or not, has been heard of for longer than a lease."""
+        """True if no machine has been heard of for longer than a lease, also if there are no machines."""
         since = self._effects.now() - SILENT_PARTITION_LEASES * self._workers.lease_s
         return self._state.owned_since < since and all(machine.heard_at < since for machine in self.machines.values())
 
     def probe_unresponsive(self) -> None:
-        """Call machines that commands didn't reach, to learn whether they would now."""
+        """Call machines that commands did not reach, to find out whether commands reach them again."""
         self._worker_calls.probe_unresponsive()
 
     def remove_machine(self, name: str) -> None:
-        """Forget a machine that is gone."""
+        """Remove a machine that was released, with its reservations."""
         machine = self.machines.pop(name, None)
         if machine is not None:
             self.reservations.drop_all(machine)
 
     def set_drained_machines(self, names: list[str]) -> None:
-        """Give nothing more to these machines; all others of the partition are not drained any more."""
+        """Place nothing more on these machines, and end the draining of all others in the partition."""
         draining = set(names)
         for machine in self.machines.values():
             machine.drained = machine.name in draining
 
     def machine_states(self) -> list[mesh.MachineState]:
-        """The machines as the fleet manager needs to know them."""
+        """Return the states of the machines for the fleet manager."""
         now = self._effects.now()
-        # One that is not reconciled is known from what may be a late copy: nothing to count on.
+        # A machine that is not reconciled is left out, since it may be known only from a late copy of a heartbeat.
         return [self._machine_state(machine, now) for machine in self.machines.values() if machine.reconciled]
 
     def _machine_state(self, machine: Machine, now: float) -> mesh.MachineState:
@@ -126,7 +132,7 @@
             machine.machine_type,
             machine.spot,
             used_cpus,
-            self.capacity.empty_in(machine, now),
+            self.capacity.estimate_empty_s(machine, now),
             now - machine.heard_at,
             machine.terminating,
             (machine.drained or machine.terminating) and not is_busy,
--- a/tealhook/partitions/pending_grant.py
+++ b/tealhook/partitions/pending_grant.py
@@ -1,4 +1,4 @@
-"""A reservation request while it is being served."""
+"""A reservation request that is being served."""
 
 from __future__ import annotations
 
@@ -12,19 +12,19 @@
 
 @dataclass(slots=True)
 class PendingGrant:
-    """What is asked for, what has been granted of it so far, and what is free on the machines meanwhile."""
+    """A reservation request, the reservations granted for it so far, and the resources left on the machines."""
 
     request: mesh.ReservationRequest
     packing: PackingOrder
     now: float
     granted: list[mesh.ReservationGrant] = field(default_factory=list)
-    required: Resources = field(init=False)  # by one task
+    required: Resources = field(init=False)  # resources of one task
 
     def __post_init__(self) -> None:
-        """Nothing is granted yet."""
+        """Compute the resources that one task requires."""
         self.required = required_resources(self.request.requirements)
 
     @property
-    def missing(self) -> int:
-        """How many tasks have no reservation yet."""
+    def missing_count(self) -> int:
+        """The number of tasks that have no reservation yet."""
         return self.request.count - len(self.granted)
--- a/tealhook/partitions/reservations.py
+++ b/tealhook/partitions/reservations.py
@@ -1,4 +1,4 @@
-"""The reservations that stand on a partition's machines, and which team's scheduler may make and use them."""
+"""Reservations on a partition's machines, and the team schedulers that may make and use them."""
 
 from __future__ import annotations
 
@@ -7,33 +7,36 @@
 from tealhook.wire import mesh
 from tealhook.wire.common import Resources
 
-RESERVATION_LEASE_SHARE = 1 / 4  # how long a reservation stands that is not used
-MAX_SILENCE_PERIODS = 2.5  # heartbeat periods; a machine not heard of for longer is given nothing
-FIRST_ID_BITS = 40  # drawn at random, so that ids of different owners don't collide
-COUNTED_ID_BITS = 20
+RESERVATION_LEASE_SHARE = 1 / 4  # share of a lease after which an unused reservation expires
+MAX_SILENCE_PERIODS = 2.5  # heartbeat periods; a machine not heard of for longer is given nothing more
+RANDOM_ID_BITS = 40  # upper bits of reservation ids, random so that ids of different owners don't collide
+COUNTER_ID_BITS = 20  # lower bits of reservation ids, counted up by each owner
 
 
 class Reservations:
-    """Adds, settles and drops reservations. Nothing of them is durable."""
+    """Adds, settles and drops reservations, none of which is durable."""
 
     def __init__(self, state: PartitionState) -> None:
-        """No reservation stands yet."""
+        """Initialize without any reservation."""
         self._effects = state.context.effects
         self._workers = state.context.workers
         self._state = state
         self._machines = state.machines
-        self._team_tokens: dict[str, int] = {}  # the highest token of each team's scheduler that was seen
-        self._machine_of: dict[int, Machine] = {}  # reservation -> its machine
-        self._last_id = state.context.effects.rng.getrandbits(FIRST_ID_BITS) << COUNTED_ID_BITS
+        self._team_tokens: dict[str, int] = {}  # the highest scheduler token seen of each team
+        self._machine_of: dict[int, Machine] = {}  # by reservation id
+        self._last_id = state.context.effects.rng.getrandbits(RANDOM_ID_BITS) << COUNTER_ID_BITS
 
     def accept_team_token(self, team: str, team_token: int) -> bool:
-        """Note the token of a team's scheduler; False for an earlier one, whose reservations are dropped."""
-        known = self._team_tokens.get(team, 0)
-        if team_token < known:
+        """Record the token of a team's scheduler, and return False if it is that of an earlier scheduler.
+
+        A newer token drops the reservations that the earlier scheduler made and has not launched.
+        """
+        known_token = self._team_tokens.get(team, 0)
+        if team_token < known_token:
             return False
-        if team_token > known:
+        if team_token > known_token:
             self._team_tokens[team] = team_token
-            for machine in self._machines.values():  # what the team's earlier scheduler reserved
+            for machine in self._machines.values():
                 for reservation in machine.list_reservations():
                     if reservation.team == team and not reservation.launching:
                         self.drop(machine, reservation)
@@ -68,18 +71,18 @@
         return reservation
 
     def machine_of(self, reservation_id: int) -> Machine | None:
-        """The machine on which a reservation stands."""
+        """Return the machine of a reservation, or None if the reservation no longer exists."""
         machine = self._machine_of.get(reservation_id)
         return machine if machine is not None and reservation_id in machine.reservations else None
 
     def settle(self, machine: Machine, reservation: Reservation) -> None:
-        """Remove a reservation that has become a task which the worker reports."""
+        """Remove a reservation whose task the worker reports."""
         del machine.reservations[reservation.reservation_id]
         self._machine_of.pop(reservation.reservation_id, None)
         self._state.mark_changed(machine)
 
     def drop(self, machine: Machine, reservation: Reservation) -> None:
-        """Give the resources of a reservation back."""
+        """Remove a reservation and free its resources; the tasks to be preempted for it no longer yield."""
         machine.reservations.pop(reservation.reservation_id, None)
         self._machine_of.pop(reservation.reservation_id, None)
         self._state.mark_changed(machine)
@@ -88,13 +91,13 @@
                 task.yields_to = 0
 
     def drop_all(self, machine: Machine) -> None:
-        """Drop every reservation on a machine that is gone, or whose lease has ended."""
+        """Remove every reservation on a machine that was released or whose lease has ended."""
         for reservation_id in machine.reservations:
             self._machine_of.pop(reservation_id, None)
         machine.reservations.clear()
 
     def schedulable_machines(self) -> list[Machine]:
-        """The machines that can start tasks at once, after reservations that have expired are dropped."""
+        """Drop expired reservations, and return the machines that can start tasks at once."""
         now = self._effects.now()
         max_silence_s = MAX_SILENCE_PERIODS * self._workers.report_s
         for machine in self._machines.values():
--- a/tealhook/partitions/state.py
+++ b/tealhook/partitions/state.py
@@ -1,4 +1,4 @@
-"""What the components of one partition share."""
+"""State that the components of one partition share."""
 
 from __future__ import annotations
 
@@ -12,25 +12,23 @@
 
 @dataclass(slots=True)
 class PartitionState:
-    """One partition under one fencing token: its machines as known by their heartbeats, and what they are judged by."""
+    """One partition under one fencing token: its machines as heartbeats show them, and the data to decide on them."""
 
     context: NodeContext
     zone: str
     token: int
     job_index: JobIndex
     machine_types: dict[str, MachineType]
-    over_guarantee_cpus_by_team: dict[
-        str, float
-    ]  # team -> CPUs that it uses beyond its guarantee, as its scheduler says
+    over_guarantee_cpus_by_team: dict[str, float]  # CPUs beyond each team's guarantee, as its scheduler reports them
     machines: dict[str, Machine] = field(default_factory=dict)
-    owned_since: float = field(init=False)  # since when this node owns the partition
-    capacity_view_valid_until: float = 0.0  # until when inquiries are answered from what was computed for the last one
+    owned_since: float = field(init=False)  # when this node became the owner of the partition
+    capacity_view_valid_until: float = 0.0  # until then, inquiries are answered from the view of an earlier one
 
     def __post_init__(self) -> None:
-        """The node begins to own the partition now."""
+        """Take the present time as the beginning of the ownership."""
         self.owned_since = self.context.effects.now()
 
     def mark_changed(self, machine: Machine) -> None:
-        """Something on a machine changed: forget what was computed of it, and of the partition."""
+        """Discard the results that were computed from a machine, for itself and for the partition."""
         machine.mark_changed()
         self.capacity_view_valid_until = 0.0
--- a/tests/test_large_fleet.py
+++ b/tests/test_large_fleet.py
@@ -195,7 +195,7 @@
     assert statuses == [503, 503]
     fleet.world.run(released_machines.REMEMBERED_LEASES * 15.0 + 1.0)
     parts.remove_machine("host-one-more")
-    assert len(parts._released) <= released_machines.MIN_REMEMBERED
+    assert len(parts._released_machines) <= released_machines.MIN_REMEMBERED
 
 
 def test_failover_calls_every_worker_within_connection_limit():
