--- a/tealhook/partitions/capacity.py
+++ b/tealhook/partitions/capacity.py
@@ -1,4 +1,4 @@
-"""Free resources of machines: now, and later by the estimates of their tasks."""
+"""Free resources of machines, now and as estimated for later."""
 
 from __future__ import annotations
 
--- a/tealhook/partitions/capacity_holds.py
+++ b/tealhook/partitions/capacity_holds.py
@@ -1,4 +1,4 @@
-"""Machines held for starving tasks: the one that should be free first is given to no other job that is not starving."""
+"""Machines held for starving tasks: the one that should be free first is kept from jobs that are not starving."""
 
 from __future__ import annotations
 
--- a/tealhook/partitions/interfaces.py
+++ b/tealhook/partitions/interfaces.py
@@ -15,7 +15,7 @@
         ...
 
     def on_unknown_job(self, job: str) -> None:
-        """Handle a job that a machine runs a task of, but that is not in the job index and was not launched here."""
+        """Handle the job of a reported task that is not in the job index and was not launched here."""
         ...
 
     def on_unowned_zone(self, zone: str) -> None:
@@ -31,7 +31,7 @@
         ...
 
     def must_not_launch(self) -> bool:
-        """Check whether this node may have lost its partitions, or its view of cancellations is too old to launch."""
+        """Check whether launching is unsafe: ownership may be lost, or the view of cancellations is too old."""
         ...
 
 
--- a/tealhook/partitions/manager.py
+++ b/tealhook/partitions/manager.py
@@ -83,7 +83,7 @@
             self.answer_now(name)
 
     def must_not_launch(self) -> bool:
-        """Check whether this process was suspended, or its view of cancellations is too old to start any task.
+        """Check whether launching is unsafe: this process was suspended, or its view of cancellations is too old.
 
         A node that is the only one cut off from the state service still receives launch requests from schedulers on
         other nodes, and would start tasks that have been cancelled meanwhile. By then its lease has expired anyway.
--- a/tealhook/partitions/preemption.py
+++ b/tealhook/partitions/preemption.py
@@ -46,7 +46,7 @@
         self._over_guarantee_cpus_by_team = state.over_guarantee_cpus_by_team
 
     def allowed_scope(self, request: mesh.ReservationRequest) -> PreemptionScope:
-        """Return the tasks that may be preempted for a request: any if it says so, else those with checkpoints."""
+        """Return the tasks that may be preempted for a request: any if it may preempt, else those with checkpoints."""
         if request.may_preempt:
             return PreemptionScope.ANY
         if request.requirements.priority > self._job_index.lowest_checkpointing_priority:
--- a/tealhook/partitions/state.py
+++ b/tealhook/partitions/state.py
@@ -12,7 +12,7 @@
 
 @dataclass(slots=True)
 class PartitionState:
-    """One partition under one fencing token: its machines as heartbeats show them, and the data to decide on them."""
+    """One partition under one fencing token: its machines as heartbeats show them, and data on jobs and teams."""
 
     context: NodeContext
     zone: str
@@ -22,7 +22,7 @@
     over_guarantee_cpus_by_team: dict[str, float]  # CPUs beyond each team's guarantee, as its scheduler reports them
     machines: dict[str, Machine] = field(default_factory=dict)
     owned_since: float = field(init=False)  # when this node became the owner of the partition
-    capacity_view_valid_until: float = 0.0  # until then, inquiries are answered from the view of an earlier one
+    capacity_view_valid_until: float = 0.0  # end of the validity of the view that inquiries share
 
     def __post_init__(self) -> None:
         """Take the present time as the beginning of the ownership."""
