--- a/tealhook/partitions/grants.py
+++ b/tealhook/partitions/grants.py
@@ -13,7 +13,7 @@
 from tealhook.partitions.capacity_holds import CapacityHolds
 from tealhook.partitions.fetch_rates import FetchRates
 from tealhook.partitions.inquiries import allows_machine
-from tealhook.partitions.machine import Machine, MachineTask, count_fitting, subtract
+from tealhook.partitions.machine import Machine, MachineTask, count_fitting, subtract_resources
 from tealhook.partitions.packing import PackingOrder
 from tealhook.partitions.pending_grant import PendingGrant
 from tealhook.partitions.preemption import PreemptionPlanner, PreemptionScope
@@ -96,7 +96,7 @@
         for machine, count in chosen:
             for _ in range(count):
                 self._add_grant(pending, machine, [])
-            pending.packing.set_free_resources(machine, subtract(free_resources(machine), required, count))
+            pending.packing.set_free_resources(machine, subtract_resources(free_resources(machine), required, count))
 
     def _add_grant(self, pending: PendingGrant, machine: Machine, victims: list[MachineTask]) -> None:
         request = pending.request
@@ -131,7 +131,7 @@
                 heapq.heappush(queue, _QueuedPlan(plan.lost_cpu_s, queued.position, machine))
                 continue
             self._preemption_planner.deduct_over_guarantee(pending.request, plan.victims)
-            pending.packing.set_free_resources(machine, subtract(plan.free_resources, pending.required))
+            pending.packing.set_free_resources(machine, subtract_resources(plan.free_resources, pending.required))
             self._add_grant(pending, machine, plan.victims)
             heapq.heappush(queue, queued)
 
@@ -145,7 +145,7 @@
                 plan = self._preemption_planner.plan(machine, pending, PreemptionScope.CHECKPOINTING)
                 if plan is None:
                     break
-                pending.packing.set_free_resources(machine, subtract(plan.free_resources, pending.required))
+                pending.packing.set_free_resources(machine, subtract_resources(plan.free_resources, pending.required))
                 self._add_grant(pending, machine, plan.victims)
             if pending.missing_count <= 0:
                 return
--- a/tealhook/partitions/partition.py
+++ b/tealhook/partitions/partition.py
@@ -6,7 +6,7 @@
 from __future__ import annotations
 
 from tealhook.partitions.capacity import MachineCapacity
-from tealhook.partitions.commands import Commands
+from tealhook.partitions.commands import WorkerCommands
 from tealhook.partitions.fetch_rates import FetchRates
 from tealhook.partitions.grants import ReservationGranter
 from tealhook.partitions.heartbeats import HeartbeatReceiver
@@ -46,7 +46,7 @@
         self._granter = ReservationGranter(state, self.capacity, self.reservations, fetch_rates)
         self._worker_calls = WorkerCalls(state)
         self.status_updates = StatusUpdates(state, self.reservations, self.launched_jobs, observer)
-        self.commands = Commands(state, self.reservations, self.launched_jobs, self.status_updates, responder)
+        self.commands = WorkerCommands(state, self.reservations, self.launched_jobs, self.status_updates, responder)
         self.responses = HeartbeatResponses(state, self.capacity, self.commands)
         self._heartbeats = HeartbeatReceiver(state, self.reservations, fetch_rates, self._health, self.status_updates)
 
@@ -98,7 +98,9 @@
     def is_silent(self) -> bool:
         """True if no machine has been heard of for longer than a lease, also if there are no machines."""
         since = self._effects.now() - SILENT_PARTITION_LEASES * self._workers.lease_s
-        return self._state.owned_since < since and all(machine.heard_at < since for machine in self.machines.values())
+        return self._state.owned_since < since and all(
+            machine.last_heartbeat_at < since for machine in self.machines.values()
+        )
 
     def probe_unresponsive(self) -> None:
         """Call machines that commands did not reach, to find out whether commands reach them again."""
@@ -114,13 +116,13 @@
         """Place nothing more on these machines, and end the draining of all others in the partition."""
         draining = set(names)
         for machine in self.machines.values():
-            machine.drained = machine.name in draining
+            machine.is_draining = machine.name in draining
 
     def machine_states(self) -> list[mesh.MachineState]:
         """Return the states of the machines for the fleet manager."""
         now = self._effects.now()
         # A machine that is not reconciled is left out, since it may be known only from a late copy of a heartbeat.
-        return [self._machine_state(machine, now) for machine in self.machines.values() if machine.reconciled]
+        return [self._machine_state(machine, now) for machine in self.machines.values() if machine.is_reconciled]
 
     def _machine_state(self, machine: Machine, now: float) -> mesh.MachineState:
         machine_type = self._state.machine_types.get(machine.machine_type)
@@ -133,8 +135,8 @@
             machine.spot,
             used_cpus,
             self.capacity.estimate_empty_s(machine, now),
-            now - machine.heard_at,
-            machine.terminating,
-            (machine.drained or machine.terminating) and not is_busy,
+            now - machine.last_heartbeat_at,
+            machine.is_terminating,
+            (machine.is_draining or machine.is_terminating) and not is_busy,
             self._health.needs_replacement(machine, now),
         )
--- a/tealhook/partitions/preemption.py
+++ b/tealhook/partitions/preemption.py
@@ -6,7 +6,7 @@
 from operator import itemgetter
 from typing import NamedTuple
 
-from tealhook.partitions.machine import Machine, MachineTask, add, fits
+from tealhook.partitions.machine import Machine, MachineTask, add_resources, fits
 from tealhook.partitions.pending_grant import PendingGrant
 from tealhook.partitions.state import PartitionState
 from tealhook.wire import mesh
@@ -84,7 +84,7 @@
                 remaining_over_guarantee_cpus[entry.team] -= entry.spec.vcpus
             lost_cpu_s += task_lost_cpu_s
             victims.append(task)
-            free_resources = add(free_resources, entry.spec.resources)
+            free_resources = add_resources(free_resources, entry.spec.resources)
         return (
             PreemptionPlan(lost_cpu_s, victims, free_resources) if victims and fits(free_resources, required) else None
         )
@@ -120,8 +120,8 @@
         return [
             task
             for task in machine.tasks.values()
-            if task.alive
-            and not (task.yields_to or task.non_preemptible or task.status == TaskStatus.CHECKPOINTING)
+            if task.is_alive
+            and not (task.preempting_reservation_id or task.non_preemptible or task.status == TaskStatus.CHECKPOINTING)
             and task.job in self._job_index.active
         ]
 
