--- a/tests/test_bin_packing.py
+++ b/tests/test_bin_packing.py
@@ -1,4 +1,4 @@
-"""Bin packing: the order of machines stays sorted while capacity is assigned."""
+"""Bin packing: the order of machines stays sorted while their capacity is granted."""
 
 from __future__ import annotations
 
@@ -12,11 +12,11 @@
 from tealhook.wire.common import Resources
 
 
-def _machines(rng: random.Random, count: int) -> list[Machine]:
+def _random_machines(rng: random.Random, count: int) -> list[Machine]:
     machines = []
-    for i in range(count):
-        report = workers.Heartbeat(f"host-{i}", "10.1.0.1:9000", "small", "za", 1, 1, spot=rng.random() < 0.5)
-        machine = Machine(report, float(rng.randrange(5)))
+    for number in range(count):
+        heartbeat = workers.Heartbeat(f"host-{number}", "10.1.0.1:9000", "small", "za", 1, 1, spot=rng.random() < 0.5)
+        machine = Machine(heartbeat, float(rng.randrange(5)))
         if rng.random() < 0.3:
             machine.add_image("img", 1.0, 10.0)
         machines.append(machine)
@@ -26,7 +26,7 @@
 @pytest.mark.parametrize("seed", range(5))
 def test_incremental_order_equals_full_sort(seed):
     rng = random.Random(seed)
-    machines = _machines(rng, 60)
+    machines = _random_machines(rng, 60)
     free = {machine.name: Resources(float(rng.randrange(9)), 0.0, 16.0) for machine in machines}
     packing = PackingOrder(machines, lambda machine: free[machine.name])
     for _ in range(40):
@@ -35,7 +35,7 @@
         packing.set_free_resources(machine, free[machine.name])
         assert packing.free_resources(machine) == free[machine.name]
         for image in ("img", ""):
-            in_order = sorted(
+            expected = sorted(
                 machines, key=lambda m: (not m.has_image(image), not m.spot, free[m.name][0], m.last_heartbeat_at)
             )
-            assert [m.name for m in packing.machines_in_order(image)] == [m.name for m in in_order]
+            assert [m.name for m in packing.machines_in_order(image)] == [m.name for m in expected]
