--- a/tealhook/partitions/capacity.py
+++ b/tealhook/partitions/capacity.py
@@ -19,7 +19,7 @@
         self._launched_jobs = launched_jobs
 
     def free_resources(self, machine: Machine) -> Resources:
-        """Return the free resources of a machine; tasks that yield to a reservation do not count as using any."""
+        """Return the free resources of a machine, not counting tasks that are being preempted for a reservation."""
         if machine.free_resources is not None:
             return machine.free_resources
         machine_type = self._machine_types.get(machine.machine_type)
@@ -43,18 +43,18 @@
         return machine.free_resources
 
     def compute_fit(self, machine: Machine, required: Resources) -> TaskFit:
-        """Return how many tasks of `required` fit on a machine now, or else from when one is expected to fit.
+        """Return the number of tasks of `required` that fit on a machine now, or the time from which one should.
 
         The result is cached on the machine, so that one change does not cause a scan of all machines of the partition.
         """
         count = count_fitting(self.free_resources(machine), required)
         fit = (count, 0.0 if count else self.estimate_free_at(machine, required))
-        if machine.free_resources is not None:  # None: the machine's type or the job of a task is not known yet
+        if machine.free_resources is not None:  # None while the machine's type or a task's job is unknown
             machine.fit_cache[required] = fit
         return fit
 
     def estimate_free_at(self, machine: Machine, required: Resources) -> float:
-        """Return when a task of `required` should fit, by the estimates of the tasks on the machine."""
+        """Return the time from which a task of `required` should fit, by the estimates of the tasks on the machine."""
         # Plain variables as above: this runs for each kind of waiting task whenever a machine changes.
         vcpus, gpus, memory_gb = self.free_resources(machine)
         required_vcpus, required_gpus, required_memory_gb = required
--- a/tealhook/partitions/inquiries.py
+++ b/tealhook/partitions/inquiries.py
@@ -63,7 +63,7 @@
         self._fits: dict[_RequirementsKey, _PartitionFit] = {}
 
     def inquire(self, requirements: list[mesh.TaskRequirements]) -> mesh.CapacityReply:
-        """Return, for each of the requirements, how many tasks fit now and when the next one should."""
+        """Return the number of tasks that fit now and the wait for the next one, for each of the requirements."""
         now = self._effects.now()
         if now > self._state.capacity_view_valid_until:
             self._schedulable_machines = self._reservations.schedulable_machines()
--- a/tealhook/partitions/launched_jobs.py
+++ b/tealhook/partitions/launched_jobs.py
@@ -23,12 +23,12 @@
 class LaunchedJobs:
     """Remembers the jobs whose tasks were launched here.
 
-    The job index lacks them while this node is cut off from the state service, and status updates must not omit any
+    The job index lacks them while this node is cut off from the state store, and status updates must not omit any
     task for that reason.
     """
 
     def __init__(self, state: PartitionState) -> None:
-        """Initialize without jobs; a share of the memory limit bounds how many are remembered."""
+        """Initialize without jobs; a share of the memory limit bounds the number remembered."""
         self._job_index = state.job_index
         limits = state.context.settings.params.limits
         self._max_remembered_jobs = max(
--- a/tealhook/partitions/manager.py
+++ b/tealhook/partitions/manager.py
@@ -85,7 +85,7 @@
     def must_not_launch(self) -> bool:
         """Check whether launching is unsafe: this process was suspended, or its view of cancellations is too old.
 
-        A node that is the only one cut off from the state service still receives launch requests from schedulers on
+        A node that is the only one cut off from the state store still receives launch requests from schedulers on
         other nodes, and would start tasks that have been cancelled meanwhile. By then its lease has expired anyway.
         """
         return self._ownership.lease_uncertain or self._job_index.watcher.age() > self._ownership.lease_ttl_s
--- a/tealhook/partitions/partition.py
+++ b/tealhook/partitions/partition.py
@@ -59,7 +59,7 @@
     # -- requests of the teams' schedulers
 
     def inquire(self, requirements: list[mesh.TaskRequirements]) -> mesh.CapacityReply:
-        """Return, for each of the requirements, how many tasks fit now and when the next one should."""
+        """Return the number of tasks that fit now and the wait for the next one, for each of the requirements."""
         return self._inquiries.inquire(requirements)
 
     def reserve(self, request: mesh.ReserveRequest) -> mesh.ReserveReply:
@@ -74,9 +74,9 @@
         return self.status_updates.reconcile(request)
 
     def publish_requested(self, request: mesh.ReconcileRequest) -> None:
-        """Publish status updates of the machines in a reconcile request.
+        """Publish the status updates that the sender of a reconcile request lacks.
 
-        This comes after the reply is sent, since their sequence numbers must exceed that of the reply.
+        They are sent after the reply, since their sequence numbers must exceed that of the reply.
         """
         self.status_updates.publish_requested(request)
 
--- a/tealhook/partitions/reservations.py
+++ b/tealhook/partitions/reservations.py
@@ -82,7 +82,7 @@
         self._state.mark_changed(machine)
 
     def drop(self, machine: Machine, reservation: Reservation) -> None:
-        """Remove a reservation and free its resources; the tasks to be preempted for it no longer yield."""
+        """Remove a reservation, free its resources, and keep the tasks that were to be preempted for it."""
         machine.reservations.pop(reservation.reservation_id, None)
         self._machine_of.pop(reservation.reservation_id, None)
         self._state.mark_changed(machine)
