--- a/tealhook/scheduling/attempt_index.py
+++ b/tealhook/scheduling/attempt_index.py
@@ -1,4 +1,4 @@
-"""Index of recorded attempts by machine: which tasks may be on a machine, whatever its last report shows."""
+"""Index of recorded attempts by machine, which holds every task that may be on a machine, reported or not."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class TaskKey(NamedTuple):
-    """Names a task among those of all teams."""
+    """Identifier of a task among those of all teams."""
 
     team: str
     job: str
@@ -23,23 +23,23 @@
 
 
 class AttemptIndex:
-    """The attempts on record of all teams that this node owns, by machine.
+    """Index by machine of the recorded attempts of all teams that this node owns.
 
-    Attempts are found in the order of team, job and task index: seeded runs must go the same way every time. They are
-    looked up one by one, so that a caller may end some while it goes through them.
+    Attempts are found in the order of team, job and task index, because seeded runs must be reproducible. They are
+    resolved lazily, one by one, so that a caller may remove attempts while it iterates over them.
     """
 
     def __init__(self) -> None:
-        """An index of no attempts."""
+        """Initialize an empty index."""
         self._keys_by_machine: dict[str, set[TaskKey]] = {}
 
     def add(self, team_state: TeamState, job: Job, attempt: Attempt) -> None:
-        """An attempt is on record: from now on it may be on its machine."""
+        """Add an attempt that has been recorded: from now on it may be on its machine."""
         keys = self._keys_by_machine.setdefault(attempt.machine, set())
         keys.add(TaskKey(team_state.name, job.id, attempt.index))
 
     def remove(self, team_state: TeamState, job: Job, attempt: Attempt) -> None:
-        """An attempt is off its machine, or this node does not own its team any more."""
+        """Remove an attempt that is no longer on its machine, or whose team this node no longer owns."""
         keys = self._keys_by_machine.get(attempt.machine)
         if keys is not None:
             keys.discard(TaskKey(team_state.name, job.id, attempt.index))
@@ -49,8 +49,8 @@
     def find(
         self, machine: str, team_state: TeamState, excluded: AbstractSet[TaskKey] = NO_KEYS
     ) -> Iterator[tuple[Job, Attempt]]:
-        """A team's attempts on a machine, with their jobs, except for those at the tasks in `excluded`."""
-        # Excluded before they are sorted: a status update usually shows every attempt on its machine.
+        """Yield a team's attempts on a machine with their jobs, without those at the tasks in `excluded`."""
+        # Excluding before sorting saves time, since a status update usually shows every attempt on its machine.
         keys = self._keys_by_machine.get(machine, NO_KEYS) - excluded
         for key in sorted(keys):
             if key.team == team_state.name:
@@ -59,7 +59,7 @@
                     yield found
 
     def find_all(self, machine: str, teams: Mapping[str, TeamState]) -> Iterator[tuple[TeamState, Job, Attempt]]:
-        """The attempts of all `teams` on a machine, with their teams and jobs."""
+        """Yield the attempts of all `teams` on a machine with their teams and jobs."""
         for key in sorted(self._keys_by_machine.get(machine, NO_KEYS)):
             team_state = teams.get(key.team)
             found = _resolve(key, machine, team_state) if team_state is not None else None
@@ -68,7 +68,7 @@
 
 
 def _resolve(key: TaskKey, machine: str, team_state: TeamState) -> tuple[Job, Attempt] | None:
-    """The current attempt at a task, if it is the one on this machine."""
+    """Return the current attempt at a task with its job, or None if the attempt is not on the machine."""
     job = team_state.jobs.get(key.job)
     attempt = job.attempts.get(key.task_index) if job is not None else None
     if job is None or attempt is None or attempt.machine != machine:
--- a/tealhook/scheduling/attempts.py
+++ b/tealhook/scheduling/attempts.py
@@ -1,6 +1,7 @@
-"""Follows recorded attempts from status updates: observed on their machines, ended there, or proved absent.
+"""Tracking of recorded attempts: observed on their machines, ended there, or proved absent.
 
-An attempt ends when a report shows its end, or when it is provably off its machine; never by a timeout alone.
+An attempt ends when a report shows its end, or when it is proved to be no longer on its machine; never because of a
+timeout alone.
 """
 
 from __future__ import annotations
@@ -18,34 +19,34 @@
 from tealhook.scheduling.commits import Commits
 from tealhook.scheduling.failure_backoff import FailureBackoff
 from tealhook.scheduling.job_cleanup import JobCleanup
-from tealhook.scheduling.stop_commands import AT_ONCE, StopCommands
+from tealhook.scheduling.stop_commands import NO_GRACE_PERIOD_S, StopCommandSender
 from tealhook.wire import mesh as wire
 from tealhook.wire.workers import ExitCause, TaskStatus
 
 log = logging.getLogger(__name__)
 
-NO_UPDATE = (0, 0)  # comes before every (token, sequence) of a status update
+NO_UPDATE = (0, 0)  # sorts before the (token, sequence) of every status update
 
 
 class AttemptTracker:
-    """The attempts of all teams that this node owns, as status updates and released machines change them."""
+    """Tracker of the recorded attempts of all teams that this node owns."""
 
     def __init__(
         self,
         context: NodeContext,
         teams: dict[str, TeamState],
         index: AttemptIndex,
-        stop_commands: StopCommands,
+        stop_command_sender: StopCommandSender,
         commits: Commits,
         job_cleanup: JobCleanup,
         wake_scheduler: Callable[[], Any],
     ) -> None:
-        """Attempts of the jobs in `teams`; `wake_scheduler` is called when tasks wait again or capacity is free."""
+        """Initialize the tracker; `wake_scheduler` is called when a task is waiting again or capacity is freed."""
         self._effects = context.effects
         self._policy = context.policy
         self._teams = teams
         self._index = index
-        self._stop_commands = stop_commands
+        self._stop_command_sender = stop_command_sender
         self._commits = commits
         self._job_cleanup = job_cleanup
         self._wake_scheduler = wake_scheduler
@@ -54,7 +55,7 @@
     # -- status updates
 
     def on_status_update(self, update: wire.StatusUpdate) -> None:
-        """Take what a partition's owner reports of a machine. Updates that arrive out of order are ignored."""
+        """Apply a partition owner's status update of a machine, unless a newer one has already been applied."""
         team_state = self._teams.get(update.team)
         if team_state is None or not team_state.ready:
             return
@@ -64,19 +65,25 @@
         team_state.latest_updates[update.machine] = order
         team_state.machines_with_orphans.pop(update.machine, None)
         stops: list[wire.TaskStop] = []
-        observed = self._match_observed(team_state, update, stops)
-        for job, attempt in self._index.find(update.machine, team_state, observed):
+        matched = self._apply_observed_tasks(team_state, update, stops)
+        for job, attempt in self._index.find(update.machine, team_state, matched):
             if self._proves_absence(attempt, update):
-                log.debug("%s/%d attempt %d is off %s", job.id, attempt.index, attempt.number, attempt.machine)
+                log.debug(
+                    "%s/%d: attempt %d is proved absent from machine %s",
+                    job.id,
+                    attempt.index,
+                    attempt.number,
+                    attempt.machine,
+                )
                 self.on_absent(team_state, job, attempt)
-        self._stop_commands.send(team_state, update.zone, stops)
+        self._stop_command_sender.send(team_state, update.zone, stops)
 
-    def _match_observed(
+    def _apply_observed_tasks(
         self, team_state: TeamState, update: wire.StatusUpdate, stops: list[wire.TaskStop]
     ) -> set[TaskKey]:
-        """Take each task observed on a machine, and add to `stops` what must go.
+        """Apply each task of a status update; return the keys of the tasks whose recorded attempt was observed.
 
-        Gives the tasks whose recorded attempts were among them.
+        Commands for attempts that the machine must stop or may forget are appended to `stops`.
         """
         matched: set[TaskKey] = set()
         for observed in update.tasks:
@@ -96,11 +103,12 @@
 
     @staticmethod
     def _proves_absence(attempt: Attempt, update: wire.StatusUpdate) -> bool:
-        """Whether an update that lacks an attempt proves that it is not on the machine and can't come there.
+        """Check whether an update without an attempt proves that it is not on the machine and can't start there later.
 
-        A later session of the machine has stopped it. A later owner's token shuts out every launch under the earlier
-        one. The same owner must have sent the update after it answered our launch, or after the launch could no
-        longer reach it (see `Reconciliation`): before that, the launch may still be on its way.
+        A later session of the machine implies that its earlier tasks were stopped. A later token of the partition's
+        owner excludes every launch under the earlier token. An update by the same owner is proof only if it was sent
+        after the owner answered the launch, or after the launch could no longer reach it (see `Reconciliation`);
+        before that, the launch may still be in flight.
         """
         if update.session > attempt.session or update.token > attempt.partition_token:
             return True
@@ -118,7 +126,7 @@
         observed: wire.ObservedTask,
         stops: list[wire.TaskStop],
     ) -> None:
-        """A recorded attempt is on its machine, or has ended there."""
+        """Apply the observed status of a recorded attempt; stop the attempt if its job has ended."""
         if observed.status == TaskStatus.EXITED:
             self._on_exited(team_state, job, attempt, observed.cause, stops)
             return
@@ -126,7 +134,7 @@
             attempt.state = AttemptState.from_task_status(observed.status)
         if job.spec is None and not attempt.stopping:
             attempt.stopping = True
-            stops.append(wire.TaskStop(attempt.machine, job.id, attempt.index, attempt.number, AT_ONCE))
+            stops.append(wire.TaskStop(attempt.machine, job.id, attempt.index, attempt.number, NO_GRACE_PERIOD_S))
 
     def _on_exited(
         self, team_state: TeamState, job: Job, attempt: Attempt, cause: str | None, stops: list[wire.TaskStop]
@@ -143,9 +151,9 @@
         stops.append(wire.TaskStop(attempt.machine, job.id, attempt.index, attempt.number, wire.FORGET))
 
     def _on_completed(self, team_state: TeamState, job: Job, attempt: Attempt, now: float) -> None:
-        """An attempt did its task: the outcome is made durable first, and only then may the worker forget it."""
+        """Mark the task of a successful attempt done; its worker may forget it only once that is durable."""
         if attempt.estimate is not None:
-            self._learn_feedback(team_state, attempt.zone, attempt.estimate, now)
+            self._record_feedback(team_state, attempt.zone, attempt.estimate, now)
         job.mark_done(attempt.index)
         job.failures = 0
         job.to_forget.append(FinishedTask(attempt.zone, attempt.machine, attempt.index, attempt.number))
@@ -154,11 +162,11 @@
             self._commits.schedule_commit()
         self._wake_scheduler()
 
-    def _learn_feedback(self, team_state: TeamState, zone: str, estimate: PlacementEstimate, now: float) -> None:
-        factor = team_state.factors.setdefault(zone, Feedback(now))
-        factor.record_finish(estimate, now, self._policy.value("feedback"))
+    def _record_feedback(self, team_state: TeamState, zone: str, estimate: PlacementEstimate, now: float) -> None:
+        feedback = team_state.factors.setdefault(zone, Feedback(now))
+        feedback.record_finish(estimate, now, self._policy.value("feedback"))
 
-    # -- observed tasks that no recorded attempt matches
+    # -- observed tasks that match no recorded attempt
 
     def _on_orphan(
         self,
@@ -168,34 +176,36 @@
         update: wire.StatusUpdate,
         stops: list[wire.TaskStop],
     ) -> None:
-        """A machine has an attempt that is no longer on record: it is stopped, or forgotten when it has ended."""
+        """Stop an observed attempt that is not recorded, or have its worker forget it if it has exited."""
         if observed.status == TaskStatus.EXITED:
             if job is not None and observed.cause == ExitCause.DONE and job.spec is not None:
                 self._on_late_completion(job, observed, update, stops)
             else:
                 stops.append(wire.TaskStop(update.machine, observed.job, observed.index, observed.attempt, wire.FORGET))
         elif observed.status != wire.LAUNCHING:
-            # The stop may be lost on its way: the machine is reconciled until it is rid of the task.
+            # The stop command may be lost, so the machine is reconciled until it no longer reports the attempt.
             team_state.machines_with_orphans[update.machine] = update.zone
-            stops.append(wire.TaskStop(update.machine, observed.job, observed.index, observed.attempt, AT_ONCE))
+            stops.append(
+                wire.TaskStop(update.machine, observed.job, observed.index, observed.attempt, NO_GRACE_PERIOD_S)
+            )
 
     def _on_late_completion(
         self, job: Job, observed: wire.ObservedTask, update: wire.StatusUpdate, stops: list[wire.TaskStop]
     ) -> None:
-        """An attempt that had been given up did its task: the result counts, the attempt in its place is stopped."""
+        """Mark the task of an abandoned attempt that succeeded done, and stop the attempt that replaced it."""
         if observed.index < job.task_count and not job.done[observed.index]:
             job.mark_done(observed.index)
             current = job.attempts.get(observed.index)
             if current is not None:
-                stops.append(wire.TaskStop(current.machine, job.id, current.index, current.number, AT_ONCE))
+                stops.append(wire.TaskStop(current.machine, job.id, current.index, current.number, NO_GRACE_PERIOD_S))
             self._commits.mark_deferrable(job, self._effects.now())
         job.to_forget.append(FinishedTask(update.zone, update.machine, observed.index, observed.attempt))
         self._commits.schedule_commit()
 
-    # -- attempts that are off their machines
+    # -- attempts that are no longer on their machines
 
     def on_absent(self, team_state: TeamState, job: Job, attempt: Attempt) -> None:
-        """An attempt is certainly not on its machine, and how it ended is not known: its task waits again."""
+        """Remove an attempt that is proved absent from its machine with an unknown outcome, and reschedule its task."""
         now = self._effects.now()
         self._remove(team_state, job, attempt)
         self._commits.mark_deferrable(job, now)
@@ -204,7 +214,7 @@
         self._job_cleanup.remove_if_unassigned(team_state, job)
 
     def on_machines_released(self, machines: list[str]) -> None:
-        """The cloud has taken these machines, with all that was on them."""
+        """Remove the attempts on machines that the cloud has released."""
         for machine in machines:
             for team_state in self._teams.values():
                 team_state.latest_updates.pop(machine, None)
@@ -213,18 +223,18 @@
                 self.on_absent(team_state, job, attempt)
 
     def _remove(self, team_state: TeamState, job: Job, attempt: Attempt) -> None:
-        """Drop an attempt that is certainly not on its machine any more."""
+        """Remove an attempt that is proved to be no longer on its machine."""
         del job.attempts[attempt.index]
         job.dirty_chunks.add(attempt.chunk)
         self._index.remove(team_state, job, attempt)
         self._commits.proved_off.setdefault(job.id, set()).add((attempt.index, attempt.number))
 
     def _reschedule(self, team_state: TeamState, job: Job, attempt: Attempt, now: float) -> None:
-        """The task of an ended attempt waits again.
+        """Return the task of an ended attempt to the waiting tasks of its job.
 
-        A gang that lost a task can't go on: the rest is stopped, and all of it is placed anew.
+        A gang can't continue without one of its tasks: the others are stopped, and the whole gang is placed again.
         """
         job.return_task(attempt.index, now)
         if job.gang and job.attempts:
-            self._stop_commands.stop_all(team_state, job)
+            self._stop_command_sender.stop_all(team_state, job)
         self._wake_scheduler()
--- a/tealhook/scheduling/demand.py
+++ b/tealhook/scheduling/demand.py
@@ -1,4 +1,4 @@
-"""What a node's teams use and wait for, as gossip tells it to the other nodes and to the fleet's owner."""
+"""Usage, demand and progress of a node's teams, which gossip reports to the other nodes and the fleet's owner."""
 
 from __future__ import annotations
 
@@ -12,23 +12,25 @@
 from tealhook.wire import mesh as wire
 from tealhook.wire.users import STANDARD_RANK
 
-UNLIMITED_CPUS = 1e9  # what a team without a limit may use
-AHEAD_PROVISIONING_TIMES = 2.0  # demand of a blocked job counts so long before its release: some take longer
-OVERDUE_PROVISIONING_TIMES = 4.0  # so long it goes on to count when the release does not come
+UNLIMITED_CPUS = 1e9  # headroom of a team without a limit
+# Bounds, in provisioning times (`boot_s`), within which the expected release of a blocked job makes its tasks count as
+# demand: this far ahead of the release, because some machines take longer than `boot_s`, and this far overdue.
+RELEASE_LOOKAHEAD_PROVISIONING_TIMES = 2.0
+MAX_RELEASE_DELAY_PROVISIONING_TIMES = 4.0
 
 
 class TeamDemand:
-    """Sums over all teams that a node owns."""
+    """Usage, demand and progress of all teams that this node owns."""
 
     def __init__(self, context: NodeContext, job_index: JobIndex, teams: Mapping[str, TeamState]) -> None:
-        """Of the jobs in `teams`; `job_index` tells when blocked ones should be released."""
+        """Initialize the summary of `teams`; `job_index` estimates when blocked jobs are released."""
         self._effects = context.effects
         self._policy = context.policy
         self._job_index = job_index
         self._teams = teams
 
     def progress(self) -> dict[str, wire.JobProgress]:
-        """Tasks done and tasks running, by job."""
+        """Return the numbers of done and running tasks of each active job."""
         return {
             job.id: wire.JobProgress(job.done_count, job.running_count())
             for team_state in self._teams.values()
@@ -37,84 +39,84 @@
         }
 
     def usage(self) -> list[wire.TeamUsage]:
-        """CPUs that teams use: in all, for jobs above standard priority, and beyond their guarantees."""
+        """Return each team's CPU usage: the total, for jobs above standard priority, and beyond its guarantee."""
         return [_team_usage(team_state) for team_state in self._teams.values()]
 
     def waiting(self) -> list[wire.Demand]:
-        """Waiting tasks by their requirements, no more than the team's limit lets run."""
-        found: dict[tuple[str, wire.TaskRequirements, str | None], wire.Demand] = {}
+        """Return the waiting tasks by their requirements, no more than each team's limit allows to run."""
+        demand_by_key: dict[tuple[str, wire.TaskRequirements, str | None], wire.Demand] = {}
         for team_state in self._teams.values():
             headroom = _Headroom(team_state)
-            for job in _oldest_first(team_state):
+            for job in _jobs_oldest_first(team_state):
                 count = job.waiting_count()
                 if job.spec is None or count <= 0:
                     continue
                 if job.failing:
-                    count = 1  # capacity for its next retry, no more: it may fail wherever it is tried
+                    count = 1  # capacity for the next retry only, since the job may fail on every machine
                 count = headroom.take(count, job.resources[0])
                 if count <= 0:
                     continue
                 requirements = job.requirements()
-                entry = found.setdefault(
+                demand = demand_by_key.setdefault(
                     (team_state.name, requirements, job.spec.zone),
                     wire.Demand(team_state.name, requirements, job.spec.zone, 0, job.spec.job_class),
                 )
-                entry.count += count
-        return list(found.values())
+                demand.count += count
+        return list(demand_by_key.values())
 
     def non_spot(self) -> tuple[list[wire.Demand], list[wire.Demand]]:
-        """Of jobs that may not use spot machines: tasks soon to be released, and tasks that have a machine."""
+        """Return the tasks of jobs that may not use spot machines: those soon to be released, and those placed."""
         blocked: list[wire.Demand] = []
         placed: list[wire.Demand] = []
         for team_state in self._teams.values():
             headroom = _Headroom(team_state)
-            for job in _oldest_first(team_state):
+            for job in _jobs_oldest_first(team_state):
                 if job.spec is None or job.spec.allows_spot:
                     continue
-                count, kind = len(job.attempts) + len(job.staged), placed
+                count, demands = len(job.attempts) + len(job.staged), placed
                 if job.blocked and self._is_released_soon(job):
-                    count, kind = headroom.take(job.task_count, job.resources[0]), blocked
+                    count, demands = headroom.take(job.task_count, job.resources[0]), blocked
                 if count > 0:
-                    kind.append(
+                    demands.append(
                         wire.Demand(team_state.name, job.requirements(), job.spec.zone, count, job.spec.job_class)
                     )
         return blocked, placed
 
     def _is_released_soon(self, job: Job) -> bool:
-        """Whether a blocked job should be released so soon that a machine for it would have to be rented now.
+        """Check whether a blocked job is expected to be released so soon that a machine for it must be rented now.
 
-        Not one whose dependencies take far longer than estimated: nobody knows how long yet, and idle machines are
-        paid for.
+        A job whose dependencies take far longer than estimated does not count: its release can't be predicted, and idle
+        machines cost money.
         """
         left_s = self._job_index.expected_release_at(job.id) - self._effects.wall()
         boot_s = self._policy.boot_s
-        return -OVERDUE_PROVISIONING_TIMES * boot_s <= left_s <= AHEAD_PROVISIONING_TIMES * boot_s
+        return -MAX_RELEASE_DELAY_PROVISIONING_TIMES * boot_s <= left_s <= RELEASE_LOOKAHEAD_PROVISIONING_TIMES * boot_s
 
 
 class _Headroom:
-    """The CPUs that a team may still use within its limit."""
+    """CPUs that a team may still use within its limit."""
 
     def __init__(self, team_state: TeamState) -> None:
-        self._cpus = team_state.limit - team_state.allocated() if team_state.limit > 0 else UNLIMITED_CPUS
+        self._free_cpus = team_state.limit - team_state.allocated() if team_state.limit > 0 else UNLIMITED_CPUS
 
-    def take(self, count: int, cpus: float) -> int:
-        """Of `count` tasks of so many CPUs each, how many fit; what they use is taken."""
-        if cpus > 0:
-            count = min(count, int((self._cpus + ROUNDING) / cpus))
-            self._cpus -= count * cpus
+    def take(self, count: int, cpus_per_task: float) -> int:
+        """Take the CPUs of as many of `count` tasks as fit, and return the number of these tasks."""
+        if cpus_per_task > 0:
+            count = min(count, int((self._free_cpus + ROUNDING) / cpus_per_task))
+            self._free_cpus -= count * cpus_per_task
         return count
 
 
-def _oldest_first(team_state: TeamState) -> list[Job]:
+def _jobs_oldest_first(team_state: TeamState) -> list[Job]:
     return sorted(team_state.jobs.values(), key=lambda job: job.mod_revision)
 
 
 def _team_usage(team_state: TeamState) -> wire.TeamUsage:
-    used = team_state.allocated()
-    urgent = sum(
+    used_cpus = team_state.allocated()
+    urgent_cpus = sum(
         job.resources[0] * len(job.attempts)
         for job in team_state.jobs.values()
         if job.spec is not None and job.priority > STANDARD_RANK
     )
-    over_guarantee = max(0.0, used - team_state.guarantee) if team_state.guarantee > 0 else used
-    return wire.TeamUsage(team_state.name, used, urgent, over_guarantee)
+    over_guarantee_cpus = max(0.0, used_cpus - team_state.guarantee) if team_state.guarantee > 0 else used_cpus
+    return wire.TeamUsage(team_state.name, used_cpus, urgent_cpus, over_guarantee_cpus)
--- a/tealhook/scheduling/job_cleanup.py
+++ b/tealhook/scheduling/job_cleanup.py
@@ -1,4 +1,4 @@
-"""Removal of jobs that have ended, once nothing of them may be on a machine or on record."""
+"""Removal of ended jobs that no longer have attempts or assignment records."""
 
 from __future__ import annotations
 
@@ -6,20 +6,20 @@
 from tealhook.jobs.team import TeamState
 from tealhook.scheduling.attempt_index import AttemptIndex
 from tealhook.scheduling.commits import Commits
-from tealhook.scheduling.stop_commands import StopCommands
+from tealhook.scheduling.stop_commands import StopCommandSender
 
 
 class JobCleanup:
-    """Removes jobs that have ended from the teams that this node owns."""
+    """Removal of ended jobs from the teams that this node owns."""
 
-    def __init__(self, index: AttemptIndex, stop_commands: StopCommands, commits: Commits) -> None:
-        """`commits` deletes the assignment records of a job before the job itself is removed."""
+    def __init__(self, index: AttemptIndex, stop_command_sender: StopCommandSender, commits: Commits) -> None:
+        """Initialize the cleanup; `commits` deletes a job's assignment records before the job itself is removed."""
         self._index = index
-        self._stop_commands = stop_commands
+        self._stop_command_sender = stop_command_sender
         self._commits = commits
 
     def remove_if_unassigned(self, team_state: TeamState, job: Job) -> None:
-        """Remove a terminal job once none of its tasks may be on a machine and its assignment records are deleted."""
+        """Remove an ended job that has no attempts, once its assignment records are deleted."""
         if job.spec is None and not job.attempts and job.write_state is WriteState.SETTLED:
             if job.chunk_revisions:
                 self._commits.schedule_commit()
@@ -29,6 +29,6 @@
     def _remove(self, team_state: TeamState, job: Job) -> None:
         for attempt in list(job.attempts.values()):
             self._index.remove(team_state, job, attempt)
-        self._stop_commands.forget_finished(team_state, job)
+        self._stop_command_sender.forget_finished(team_state, job)
         team_state.jobs.pop(job.id, None)
         self._commits.proved_off.pop(job.id, None)
--- a/tealhook/scheduling/launches.py
+++ b/tealhook/scheduling/launches.py
@@ -1,4 +1,4 @@
-"""Launches: attempts that are on record are started on the reservations made for them."""
+"""Launches of durable attempts on the reservations made for them."""
 
 from __future__ import annotations
 
@@ -17,15 +17,15 @@
 
 log = logging.getLogger(__name__)
 
-RESERVATION_LEASES = 0.25  # a reservation expires after this share of a lease
-CLOCK_RATE_MARGIN = 1.01  # clocks of two machines may run at rates that differ by less than this
-EXPIRY_MARGIN_S = 0.1  # added to an expiry that another machine counts
+RESERVATION_LEASE_SHARE = 0.25  # share of a lease after which a partition drops an unused reservation
+MAX_CLOCK_RATE_RATIO = 1.01  # upper bound on the ratio between the rates of the clocks of two machines
+EXPIRY_MARGIN_S = 0.1  # added to an expiry time that another machine measures
 
 
 class AttemptLauncher:
-    """Launches of attempts of the teams that this node owns.
+    """Launcher of the attempts of the teams that this node owns.
 
-    A lost launch, or a lost reply, is settled by reconciliation.
+    A lost launch request or reply is settled by reconciliation.
     """
 
     def __init__(
@@ -36,7 +36,7 @@
         teams: dict[str, TeamState],
         on_refused: Callable[[TeamState, Job, Attempt], Any],
     ) -> None:
-        """For the jobs in `teams`; `on_refused` is told of each attempt that can't come to its machine."""
+        """Initialize the launcher; `on_refused` is called with each attempt that is refused and will never start."""
         self._effects = context.effects
         self._workers = context.workers
         self._ownership = ownership
@@ -45,19 +45,19 @@
         self._on_refused = on_refused
 
     def launch(self, team_state: TeamState, zone: str, attempts: list[tuple[str, Attempt]]) -> None:
-        """Start attempts of a zone, by job, that are on record."""
+        """Launch durable attempts in a zone; each of `attempts` is a pair of a job's id and its attempt."""
         now = self._effects.now()
-        reservation_s = RESERVATION_LEASES * self._workers.lease_s
+        reservation_s = RESERVATION_LEASE_SHARE * self._workers.lease_s
         attempts_by_token: dict[int, list[tuple[str, Attempt]]] = {}
         for job_id, attempt in attempts:
             job = team_state.jobs.get(job_id)
             if job is not None and job.attempts.get(attempt.index) is attempt:
-                # Its reservation was made before now, so it has expired by then on any clock.
-                attempt.launch_expires_at = now + CLOCK_RATE_MARGIN * reservation_s + EXPIRY_MARGIN_S
+                # The reservation was made before now, so by this time it has expired by the partition's clock too.
+                attempt.launch_expires_at = now + MAX_CLOCK_RATE_RATIO * reservation_s + EXPIRY_MARGIN_S
                 attempts_by_token.setdefault(attempt.partition_token, []).append((job_id, attempt))
         owner = self._ownership.owner(partition_key(zone))
         if owner is None:
-            return  # the next reconciliation settles it
+            return  # the next reconciliation settles these launches
         for token, launched in attempts_by_token.items():
             starts = [wire.TaskStart(a.reservation_id, job_id, a.index, a.number) for job_id, a in launched]
             self._mesh.call(
@@ -76,7 +76,7 @@
             if job is None or job.attempts.get(attempt.index) is not attempt:
                 continue
             if attempt.reservation_id in refused:
-                log.debug("%s/%d: launch refused", job_id, attempt.index)
+                log.debug("%s/%d: launch refused by the partition's owner", job_id, attempt.index)
                 self._on_refused(team_state, job, attempt)
             else:
                 attempt.acknowledged_sequence = reply.sequence
--- a/tealhook/scheduling/team_recovery.py
+++ b/tealhook/scheduling/team_recovery.py
@@ -1,4 +1,4 @@
-"""Recovery of a team after a failover: its jobs are rebuilt from the durable records, before any decision."""
+"""Recovery of a team after a failover, which rebuilds its jobs from durable records before they are scheduled."""
 
 from __future__ import annotations
 
@@ -21,22 +21,23 @@
 
 log = logging.getLogger(__name__)
 
-INDEX_POLL_S = 0.05  # between looks at whether the job index has been read
-MIN_RETRY_S = 0.2  # before a failed read is repeated, with jitter of the same length
-RETRY_JITTER_S = 0.2
+INDEX_POLL_S = 0.05  # interval at which a recovery checks whether the job index has been read
+# A failed read is retried after the minimum delay plus a random part of the jitter.
+MIN_RETRY_DELAY_S = 0.2
+MAX_RETRY_JITTER_S = 0.2
 
 
 @dataclass(slots=True)
 class _Recovery:
-    """One team's records while job records that the index lacks are being read."""
+    """Records of a team that is being recovered, while job records that the job index lacks are being read."""
 
     team_state: TeamState
-    rows: list[state_wire.KeyValue]  # its assignment records
-    unread: set[str]  # jobs whose records have not been read yet
+    assignment_rows: list[state_wire.KeyValue]
+    unread_jobs: set[str]  # jobs that the job index lacks and whose records have not been read yet
 
 
 class TeamRecovery:
-    """Reads the records of teams and rebuilds their jobs."""
+    """Recovery of teams that this node has gained: it reads their records and rebuilds their jobs."""
 
     def __init__(
         self,
@@ -47,7 +48,7 @@
         job_builder: JobBuilder,
         on_recovered: Callable[[TeamState], Any],
     ) -> None:
-        """For the teams in `teams`; `on_recovered` is called once all jobs of one are rebuilt."""
+        """Initialize the recovery; `on_recovered` is called with a team once all of its jobs are rebuilt."""
         self._effects = context.effects
         self._store = store
         self._job_index = job_index
@@ -57,7 +58,10 @@
         self._on_recovered = on_recovered
 
     def recover(self, team_state: TeamState) -> None:
-        """Read all durable records of a team. Given up as soon as this node no longer owns it under the same token."""
+        """Read all durable records of a team, and rebuild its jobs from them.
+
+        The recovery is abandoned as soon as this node no longer owns the team under the same token.
+        """
         if not self._is_current(team_state):
             return
         if not self._job_index.synced:
@@ -68,55 +72,56 @@
     def _is_current(self, team_state: TeamState) -> bool:
         return self._teams.get(team_state.name) is team_state
 
-    def _retry_pause_s(self) -> float:
-        return MIN_RETRY_S + RETRY_JITTER_S * self._effects.rng.random()
+    def _retry_delay_s(self) -> float:
+        return MIN_RETRY_DELAY_S + MAX_RETRY_JITTER_S * self._effects.rng.random()
 
     def _on_assignments_read(
         self, team_state: TeamState, rows: list[state_wire.KeyValue] | None, _revision: int
     ) -> None:
-        """Read the records of jobs that the job index lacks: our view of the store may be older than our claim.
+        """Read the records of jobs with assignments that the job index lacks, before the team's jobs are rebuilt.
 
-        Such a job was once taken for ended: its tasks were stopped, and its assignment record was deleted, and with it
-        what had been done and the attempt numbers given out.
+        The job index may be older than this node's claim of the team, and lack a job that was accepted since. Taking
+        such a job for ended would stop its tasks and delete its assignment records, and with them its completed tasks
+        and the last attempt number.
         """
         if not self._is_current(team_state):
             return
         if rows is None:
-            self._effects.later(self._retry_pause_s(), partial(self.recover, team_state))
+            self._effects.later(self._retry_delay_s(), partial(self.recover, team_state))
             return
-        jobs = {parse_assignment_key(row.key, team_state.name)[0] for row in rows}
-        unknown = sorted(job for job in jobs if self._job_index.status(job) is None)
-        recovery = _Recovery(team_state, rows, set(unknown))
-        if not unknown:
+        assigned_jobs = {parse_assignment_key(row.key, team_state.name)[0] for row in rows}
+        unknown_jobs = sorted(job_id for job_id in assigned_jobs if self._job_index.status(job_id) is None)
+        recovery = _Recovery(team_state, rows, set(unknown_jobs))
+        if not unknown_jobs:
             self._rebuild(recovery)
-        for job in unknown:
-            self._read_job(recovery, job)
+        for job_id in unknown_jobs:
+            self._read_job_record(recovery, job_id)
 
-    def _read_job(self, recovery: _Recovery, job: str) -> None:
+    def _read_job_record(self, recovery: _Recovery, job_id: str) -> None:
         if self._is_current(recovery.team_state):
-            self._records.fetch(job, partial(self._on_job_read, recovery, job))
+            self._records.fetch(job_id, partial(self._on_job_record_read, recovery, job_id))
 
-    def _on_job_read(
-        self, recovery: _Recovery, job: str, outcome: ReadOutcome, record: JobRecord | None, revision: int
+    def _on_job_record_read(
+        self, recovery: _Recovery, job_id: str, outcome: ReadOutcome, record: JobRecord | None, revision: int
     ) -> None:
         if not self._is_current(recovery.team_state):
             return
         if record is not None:
-            self._job_index.apply_record(job, record, revision)
+            self._job_index.apply_record(job_id, record, revision)
         elif outcome is ReadOutcome.UNKNOWN:
-            self._effects.later(self._retry_pause_s(), partial(self._read_job, recovery, job))
+            self._effects.later(self._retry_delay_s(), partial(self._read_job_record, recovery, job_id))
             return
-        recovery.unread.discard(job)
-        if not recovery.unread:
+        recovery.unread_jobs.discard(job_id)
+        if not recovery.unread_jobs:
             self._rebuild(recovery)
 
     def _rebuild(self, recovery: _Recovery) -> None:
-        """All records are read: build the team's jobs as the former owner left them."""
+        """Rebuild a team's jobs as its former owner left them, once all records have been read."""
         team_state = recovery.team_state
         if not self._is_current(team_state):
             return
         now = self._effects.now()
-        self._load_assignments(team_state, recovery.rows, now)
+        self._load_assignments(team_state, recovery.assignment_rows, now)
         for job_id, entry in self._job_index.active.items():
             if entry.team == team_state.name and job_id not in team_state.jobs:
                 team_state.jobs[job_id] = self._job_builder.build(job_id, team_state.name, now)
@@ -124,13 +129,13 @@
         self._on_recovered(team_state)
 
     def _load_assignments(self, team_state: TeamState, rows: list[state_wire.KeyValue], now: float) -> None:
-        """Build the jobs that have assignment records; a record that can't be read is skipped."""
+        """Build the jobs that have assignment records; a corrupt record is logged and skipped."""
         for row in rows:
             job_id, chunk = parse_assignment_key(row.key, team_state.name)
             job = team_state.jobs.get(job_id) or self._job_builder.build(job_id, team_state.name, now)
             try:
                 job.load(chunk, row.value, row.mod_revision, now)
             except CorruptRecordError as exc:
-                log.error("%s", exc)
+                log.error("assignment record skipped in team recovery: %s", exc)
                 continue
             team_state.jobs[job_id] = job
--- a/tealhook/scheduling/team_scheduler.py
+++ b/tealhook/scheduling/team_scheduler.py
@@ -1,8 +1,9 @@
-"""The scheduler of the teams that a node owns: the owner of a team runs all of that team's jobs.
+"""Scheduler of the teams that a node owns: the owner of a team schedules all jobs of that team.
 
-Order of a placement: inquire at the partitions, choose by min-min, reserve at the partition, make the assignment
-durable under the team's and the partition's ownership and the job's revision, then launch. Order of an end: a report
-shows it, or the attempt is provably off its machine; never a timeout alone.
+A task is placed in this order: ask the partitions for capacity, choose by min-min, reserve at the partition, make the
+assignment durable on condition of the team's ownership, the partition's ownership and the job's revision, and only then
+launch. An attempt ends when a report shows its end, or when it is proved to be no longer on its machine; never because
+of a timeout alone.
 """
 
 from __future__ import annotations
@@ -28,7 +29,7 @@
 from tealhook.scheduling.job_cleanup import JobCleanup
 from tealhook.scheduling.launches import AttemptLauncher
 from tealhook.scheduling.reconciliation import Reconciliation
-from tealhook.scheduling.stop_commands import StopCommands
+from tealhook.scheduling.stop_commands import StopCommandSender
 from tealhook.scheduling.team_recovery import TeamRecovery
 from tealhook.state_store import StateClient
 from tealhook.wire import mesh as wire
@@ -39,23 +40,23 @@
 
 
 class TeamScheduler:
-    """All teams that this node owns.
+    """Scheduler of all teams that this node owns.
 
-    It builds the components that schedule them and connects them. For `Commits` it is the `AttemptObserver`: it passes
-    on to them what became durable.
+    It builds and connects the components that schedule the teams. As the `AttemptObserver` of `Commits`, it passes
+    the outcomes of commits on to these components.
     """
 
     def __init__(
         self, context: NodeContext, ownership: Ownership, store: StateClient, job_index: JobIndex, mesh: Mesh
     ) -> None:
-        """No team yet: `on_ownership_change` tells of each that this node gains or loses."""
+        """Initialize the scheduler without teams; `on_ownership_change` adds and removes them."""
         self._effects = context.effects
         self._job_index = job_index
         self._workers = context.workers
         self._team_settings = {team.name: team for team in context.settings.params.teams}
         self.teams: dict[str, TeamState] = {}
-        # Commits and attempts need each other: `Commits` calls its observer from timers and replies alone, hence never
-        # before all that follows is built.
+        # `Commits` and `AttemptTracker` depend on each other. This is safe because `Commits` calls its observer only
+        # from timers and replies, never before this constructor returns.
         self.commits = Commits(context, store, job_index, self.teams, self)
         self.cycle = SchedulingCycle(
             context,
@@ -67,30 +68,33 @@
             self.commits,
         )
         self._attempt_index = AttemptIndex()
-        self._stop_commands = StopCommands(ownership, mesh)
-        self._job_cleanup = JobCleanup(self._attempt_index, self._stop_commands, self.commits)
-        self._attempts = AttemptTracker(
+        self._stop_command_sender = StopCommandSender(ownership, mesh)
+        self._job_cleanup = JobCleanup(self._attempt_index, self._stop_command_sender, self.commits)
+        self._attempt_tracker = AttemptTracker(
             context,
             self.teams,
             self._attempt_index,
-            self._stop_commands,
+            self._stop_command_sender,
             self.commits,
             self._job_cleanup,
             self.cycle.wake,
         )
-        self._launches = AttemptLauncher(context, ownership, mesh, self.teams, self._attempts.on_absent)
+        self._attempt_launcher = AttemptLauncher(context, ownership, mesh, self.teams, self._attempt_tracker.on_absent)
         self._reconciliation = Reconciliation(context, ownership, mesh, self.teams, self._attempt_index)
-        self._dependencies = DependencyTracker(context, store, job_index, self.teams)
-        self._job_builder = JobBuilder(context, job_index, self._dependencies.schedule_check)
+        self._dependency_tracker = DependencyTracker(context, store, job_index, self.teams)
+        self._job_builder = JobBuilder(context, job_index, self._dependency_tracker.schedule_check)
         self._recovery = TeamRecovery(context, store, job_index, self.teams, self._job_builder, self._on_team_recovered)
         self._demand = TeamDemand(context, job_index, self.teams)
         every(context.effects, self._workers.lease_s / RECONCILIATIONS_PER_LEASE, self._reconcile_all)
-        every(context.effects, self._workers.report_s, self._periodic_cleanup)
+        every(context.effects, self._workers.report_s, self._decay_feedback_and_commit)
 
     # -- ownership
 
     def on_ownership_change(self, team: str, token: int | None) -> None:
-        """This node gained a team under a fencing token, or lost it; gained anew, it is read from its records."""
+        """Drop a team that this node has lost (`token` is None), or recover one that it has gained under `token`.
+
+        A team that is gained again under a new token is dropped first, and recovered from its durable records.
+        """
         team_state = self.teams.pop(team, None)
         if team_state is not None:
             for job in team_state.jobs.values():
@@ -105,7 +109,7 @@
             self._recovery.recover(team_state)
 
     def _on_team_recovered(self, team_state: TeamState) -> None:
-        """All jobs of a team are rebuilt: go on where its former owner stopped."""
+        """Start scheduling a team whose jobs have all been rebuilt as its former owner left them."""
         now = self._effects.now()
         for job in team_state.jobs.values():
             for attempt in job.attempts.values():
@@ -115,14 +119,14 @@
         for job in team_state.jobs.values():
             if job.spec is None:
                 job.ended_since = now - self._job_index.seconds_since_cancelled(job.id)
-                self._stop_commands.stop_all(team_state, job)
+                self._stop_command_sender.stop_all(team_state, job)
         self._reconciliation.reconcile(team_state)
         self.cycle.wake()
 
     # -- job changes
 
     def on_job_changed(self, job_id: str) -> None:
-        """The job index has a change of a job: submitted, released, cancelled or done."""
+        """Apply a change of a job in the job index: it was submitted, released, cancelled or done."""
         team = self._job_index.team_of(job_id)
         team_state = self.teams.get(team) if team else None
         if team_state is None or not team_state.ready:
@@ -136,14 +140,14 @@
 
     def _on_active_job_changed(self, team_state: TeamState, job_id: str, job: Job | None, entry: JobEntry) -> None:
         if entry.blocked:
-            self._dependencies.schedule_check(job_id)
+            self._dependency_tracker.schedule_check(job_id)
         now = self._effects.now()
         if job is None:
             job = team_state.jobs[job_id] = self._job_builder.build(job_id, team_state.name, now)
             job.loaded = True
             self.cycle.wake()
         elif job.spec is None:
-            log.error("%s is active, but was taken for ended: its team is recovered again", job_id)
+            log.error("job %s is active in the job index, but was considered ended here: recovering its team", job_id)
             self.on_ownership_change(team_state.name, team_state.token)
         else:
             self._job_builder.update_priority(job, entry, now)
@@ -153,89 +157,91 @@
                 self.cycle.wake()
 
     def _on_job_ended(self, team_state: TeamState, job: Job) -> None:
-        job.spec = None  # terminal: nothing of it starts any more
+        job.spec = None  # marks the job as ended: none of its tasks may start any more
         job.ended_since = self._effects.now() - self._job_index.seconds_since_cancelled(job.id)
-        self._stop_commands.stop_all(team_state, job)
+        self._stop_command_sender.stop_all(team_state, job)
         self._job_cleanup.remove_if_unassigned(team_state, job)
 
     # -- machines
 
     def on_status_update(self, update: wire.StatusUpdate) -> None:
-        """Take what a partition's owner reports of a machine."""
-        self._attempts.on_status_update(update)
+        """Apply a partition owner's status update of a machine."""
+        self._attempt_tracker.on_status_update(update)
 
     def on_machines_released(self, machines: list[str]) -> None:
-        """The fleet's owner reports that the cloud has taken these machines, with all that was on them."""
-        self._attempts.on_machines_released(machines)
+        """Remove the attempts on machines that the cloud has released, as reported by the fleet's owner."""
+        self._attempt_tracker.on_machines_released(machines)
 
     # -- outcomes of commits, as `AttemptObserver`
 
     def index_attempt(self, team_state: TeamState, job: Job, attempt: Attempt) -> None:
-        """An attempt is on record: from now on it may be on its machine."""
+        """Index an attempt that has become durable: from now on it may be on its machine."""
         self._attempt_index.add(team_state, job, attempt)
 
     def launch(self, team_state: TeamState, zone: str, attempts: list[tuple[str, Attempt]]) -> None:
-        """Start attempts of a zone, by job, that are on record."""
-        self._launches.launch(team_state, zone, attempts)
+        """Launch durable attempts in a zone; each of `attempts` is a pair of a job's id and its attempt."""
+        self._attempt_launcher.launch(team_state, zone, attempts)
 
     def stop_all(self, team_state: TeamState, job: Job) -> None:
-        """Stop whatever a job may have on machines."""
-        self._stop_commands.stop_all(team_state, job)
+        """Stop every attempt of a job that may be on a machine."""
+        self._stop_command_sender.stop_all(team_state, job)
 
     def forget_finished(self, team_state: TeamState, job: Job) -> None:
-        """Have workers forget tasks whose outcome is on record."""
-        self._stop_commands.forget_finished(team_state, job)
+        """Have workers forget tasks whose outcome is durable."""
+        self._stop_command_sender.forget_finished(team_state, job)
 
     def end_if_unassigned(self, team_state: TeamState, job: Job) -> None:
-        """Remove a job that is over once none of its tasks may be on a machine."""
+        """Remove an ended job once none of its tasks may be on a machine."""
         self._job_cleanup.remove_if_unassigned(team_state, job)
 
     def reconcile(self, team_state: TeamState) -> None:
-        """Ask the partitions' owners for what is on a team's machines."""
+        """Ask the partitions' owners for the status of a team's machines."""
         self._reconciliation.reconcile(team_state)
 
     def wake_scheduler(self) -> None:
-        """Tasks may be placeable now."""
+        """Shorten the pauses between scheduling cycles, because tasks may be placeable now."""
         self.cycle.wake()
 
     # -- periodic work
 
     def _reconcile_all(self) -> None:
+        """Reconcile all teams, repeat stop commands for ended jobs, and recheck the dependencies of blocked jobs."""
         for team_state in list(self.teams.values()):
             if team_state.ready:
                 for job in team_state.jobs.values():
                     if job.spec is None:
-                        self._stop_commands.stop_all(team_state, job)  # a stop may have been lost on its way
+                        # An earlier stop command may have been lost.
+                        self._stop_command_sender.stop_all(team_state, job)
                     elif job.blocked:
-                        self._dependencies.schedule_check(job.id)
+                        self._dependency_tracker.schedule_check(job.id)
                 self._reconciliation.reconcile(team_state)
 
-    def _periodic_cleanup(self) -> None:
-        """Let feedback of teams without waiting tasks fade, and write what need not be durable at once."""
+    def _decay_feedback_and_commit(self) -> None:
+        """Decay the feedback of teams without waiting tasks, and commit changes that could be deferred until now."""
         now = self._effects.now()
         for team_state in self.teams.values():
-            waiting = any(job.waiting_count() > 0 for job in team_state.jobs.values())
-            if not waiting:
-                for factor in team_state.factors.values():
-                    factor.decay(now, self._workers.lease_s)
+            has_waiting_tasks = any(job.waiting_count() > 0 for job in team_state.jobs.values())
+            if not has_waiting_tasks:
+                for feedback in team_state.factors.values():
+                    feedback.decay(now, self._workers.lease_s)
         self.commits.schedule_commit()
 
-    # -- sums for gossip
+    # -- summaries for gossip
 
     def progress(self) -> dict[str, wire.JobProgress]:
-        """Tasks done and tasks running, by job."""
+        """Return the numbers of done and running tasks of each active job."""
         return self._demand.progress()
 
     def usage(self) -> list[wire.TeamUsage]:
-        """CPUs that teams use: in all, for jobs above standard priority, and beyond their guarantees."""
+        """Return each team's CPU usage: the total, for jobs above standard priority, and beyond its guarantee."""
         return self._demand.usage()
 
     def demand(self) -> list[wire.Demand]:
-        """Waiting tasks by their requirements, no more than the team's limit lets run."""
+        """Return the waiting tasks by their requirements, no more than each team's limit allows to run."""
         return self._demand.waiting()
 
     def non_spot_demand(self) -> tuple[list[wire.Demand], list[wire.Demand]]:
-        """Of jobs that may not use spot machines: tasks soon to be released, and tasks that have a machine."""
+        """Return the tasks of jobs that may not use spot machines: those soon to be released, and those placed."""
         return self._demand.non_spot()
 
 
