--- a/tealhook/scheduling/attempts.py
+++ b/tealhook/scheduling/attempts.py
@@ -16,9 +16,9 @@
 from tealhook.jobs.team import TeamState
 from tealhook.placement import Feedback, PlacementEstimate
 from tealhook.scheduling.attempt_index import AttemptIndex, TaskKey
-from tealhook.scheduling.commits import Commits
 from tealhook.scheduling.failure_backoff import FailureBackoff
 from tealhook.scheduling.job_cleanup import JobCleanup
+from tealhook.scheduling.job_committer import JobCommitter
 from tealhook.scheduling.stop_commands import NO_GRACE_PERIOD_S, StopCommandSender
 from tealhook.wire import mesh as wire
 from tealhook.wire.workers import ExitCause, TaskStatus
@@ -37,7 +37,7 @@
         teams: dict[str, TeamState],
         index: AttemptIndex,
         stop_command_sender: StopCommandSender,
-        commits: Commits,
+        committer: JobCommitter,
         job_cleanup: JobCleanup,
         wake_scheduler: Callable[[], Any],
     ) -> None:
@@ -47,7 +47,7 @@
         self._teams = teams
         self._index = index
         self._stop_command_sender = stop_command_sender
-        self._commits = commits
+        self._committer = committer
         self._job_cleanup = job_cleanup
         self._wake_scheduler = wake_scheduler
         self._backoff = FailureBackoff(context)
@@ -157,9 +157,9 @@
         job.mark_done(attempt.index)
         job.failures = 0
         job.to_forget.append(FinishedTask(attempt.zone, attempt.machine, attempt.index, attempt.number))
-        self._commits.mark_deferrable(job, now)
+        self._committer.mark_deferrable_change(job, now)
         if job.finished:
-            self._commits.schedule_commit()
+            self._committer.schedule_commit()
         self._wake_scheduler()
 
     def _record_feedback(self, team_state: TeamState, zone: str, estimate: PlacementEstimate, now: float) -> None:
@@ -198,9 +198,9 @@
             current = job.attempts.get(observed.index)
             if current is not None:
                 stops.append(wire.TaskStop(current.machine, job.id, current.index, current.number, NO_GRACE_PERIOD_S))
-            self._commits.mark_deferrable(job, self._effects.now())
+            self._committer.mark_deferrable_change(job, self._effects.now())
         job.to_forget.append(FinishedTask(update.zone, update.machine, observed.index, observed.attempt))
-        self._commits.schedule_commit()
+        self._committer.schedule_commit()
 
     # -- attempts that are no longer on their machines
 
@@ -208,7 +208,7 @@
         """Remove an attempt that is proved absent from its machine with an unknown outcome, and reschedule its task."""
         now = self._effects.now()
         self._remove(team_state, job, attempt)
-        self._commits.mark_deferrable(job, now)
+        self._committer.mark_deferrable_change(job, now)
         if job.spec is not None:
             self._reschedule(team_state, job, attempt, now)
         self._job_cleanup.remove_if_unassigned(team_state, job)
@@ -227,7 +227,7 @@
         del job.attempts[attempt.index]
         job.dirty_chunks.add(attempt.chunk)
         self._index.remove(team_state, job, attempt)
-        self._commits.proved_off.setdefault(job.id, set()).add((attempt.index, attempt.number))
+        self._committer.proved_absent.setdefault(job.id, set()).add((attempt.index, attempt.number))
 
     def _reschedule(self, team_state: TeamState, job: Job, attempt: Attempt, now: float) -> None:
         """Return the task of an ended attempt to the waiting tasks of its job.
--- a/tealhook/scheduling/dependencies.py
+++ b/tealhook/scheduling/dependencies.py
@@ -78,7 +78,7 @@
     ) -> None:
         self._reading.discard(dependency)
         if outcome is ReadOutcome.ABSENT:
-            log.error("job %s depends on job %s, which has no record in the state service", job, dependency)
+            log.error("job %s depends on job %s, which has no record in the state store", job, dependency)
 
     def _cancel(self, jobs: list[str]) -> None:
         """Cancel several jobs in one write."""
--- a/tealhook/scheduling/team_scheduler.py
+++ b/tealhook/scheduling/team_scheduler.py
@@ -21,12 +21,12 @@
 from tealhook.mesh import Mesh
 from tealhook.scheduling.attempt_index import AttemptIndex
 from tealhook.scheduling.attempts import AttemptTracker
-from tealhook.scheduling.commits import Commits
 from tealhook.scheduling.cycle import SchedulingCycle
 from tealhook.scheduling.demand import TeamDemand
 from tealhook.scheduling.dependencies import DependencyTracker
 from tealhook.scheduling.job_building import JobBuilder
 from tealhook.scheduling.job_cleanup import JobCleanup
+from tealhook.scheduling.job_committer import JobCommitter
 from tealhook.scheduling.launches import AttemptLauncher
 from tealhook.scheduling.reconciliation import Reconciliation
 from tealhook.scheduling.stop_commands import StopCommandSender
@@ -42,8 +42,8 @@
 class TeamScheduler:
     """Scheduler of all teams that this node owns.
 
-    It builds and connects the components that schedule the teams. As the `AttemptObserver` of `Commits`, it passes
-    the outcomes of commits on to these components.
+    It builds and connects the components that schedule the teams. As the `SchedulerActions` of `JobCommitter`, it
+    passes the outcomes of commits on to these components.
     """
 
     def __init__(
@@ -55,9 +55,9 @@
         self._workers = context.workers
         self._team_settings = {team.name: team for team in context.settings.params.teams}
         self.teams: dict[str, TeamState] = {}
-        # `Commits` and `AttemptTracker` depend on each other. This is safe because `Commits` calls its observer only
-        # from timers and replies, never before this constructor returns.
-        self.commits = Commits(context, store, job_index, self.teams, self)
+        # `JobCommitter` and `AttemptTracker` depend on each other, which is safe because `JobCommitter` calls this
+        # object only from timers and replies, never before this constructor returns.
+        self.committer = JobCommitter(context, store, job_index, self.teams, self)
         self.cycle = SchedulingCycle(
             context,
             ownership,
@@ -65,17 +65,17 @@
             mesh,
             self.teams,
             job_index,
-            self.commits,
+            self.committer,
         )
         self._attempt_index = AttemptIndex()
         self._stop_command_sender = StopCommandSender(ownership, mesh)
-        self._job_cleanup = JobCleanup(self._attempt_index, self._stop_command_sender, self.commits)
+        self._job_cleanup = JobCleanup(self._attempt_index, self._stop_command_sender, self.committer)
         self._attempt_tracker = AttemptTracker(
             context,
             self.teams,
             self._attempt_index,
             self._stop_command_sender,
-            self.commits,
+            self.committer,
             self._job_cleanup,
             self.cycle.wake,
         )
@@ -172,7 +172,7 @@
         """Remove the attempts on machines that the cloud has released, as reported by the fleet's owner."""
         self._attempt_tracker.on_machines_released(machines)
 
-    # -- outcomes of commits, as `AttemptObserver`
+    # -- outcomes of commits, as `SchedulerActions`
 
     def index_attempt(self, team_state: TeamState, job: Job, attempt: Attempt) -> None:
         """Index an attempt that has become durable: from now on it may be on its machine."""
@@ -190,7 +190,7 @@
         """Have workers forget tasks whose outcome is durable."""
         self._stop_command_sender.forget_finished(team_state, job)
 
-    def end_if_unassigned(self, team_state: TeamState, job: Job) -> None:
+    def remove_if_unassigned(self, team_state: TeamState, job: Job) -> None:
         """Remove an ended job once none of its tasks may be on a machine."""
         self._job_cleanup.remove_if_unassigned(team_state, job)
 
@@ -224,7 +224,7 @@
             if not has_waiting_tasks:
                 for feedback in team_state.factors.values():
                     feedback.decay(now, self._workers.lease_s)
-        self.commits.schedule_commit()
+        self.committer.schedule_commit()
 
     # -- summaries for gossip
 
