--- a/tealhook/scheduling/attempt_index.py
+++ b/tealhook/scheduling/attempt_index.py
@@ -54,7 +54,7 @@
         keys = self._keys_by_machine.get(machine, NO_KEYS) - excluded
         for key in sorted(keys):
             if key.team == team_state.name:
-                found = _resolve(key, machine, team_state)
+                found = _find_current_attempt(key, machine, team_state)
                 if found is not None:
                     yield found
 
@@ -62,12 +62,12 @@
         """Yield the attempts of all `teams` on a machine with their teams and jobs."""
         for key in sorted(self._keys_by_machine.get(machine, NO_KEYS)):
             team_state = teams.get(key.team)
-            found = _resolve(key, machine, team_state) if team_state is not None else None
+            found = _find_current_attempt(key, machine, team_state) if team_state is not None else None
             if team_state is not None and found is not None:
                 yield team_state, *found
 
 
-def _resolve(key: TaskKey, machine: str, team_state: TeamState) -> tuple[Job, Attempt] | None:
+def _find_current_attempt(key: TaskKey, machine: str, team_state: TeamState) -> tuple[Job, Attempt] | None:
     """Return the current attempt at a task with its job, or None if the attempt is not on the machine."""
     job = team_state.jobs.get(key.job)
     attempt = job.attempts.get(key.task_index) if job is not None else None
--- a/tealhook/scheduling/attempts.py
+++ b/tealhook/scheduling/attempts.py
@@ -55,7 +55,7 @@
     # -- status updates
 
     def on_status_update(self, update: wire.StatusUpdate) -> None:
-        """Apply a partition owner's status update of a machine, unless a newer one has already been applied."""
+        """Apply a partition owner's status update of a machine, unless it has arrived out of order."""
         team_state = self._teams.get(update.team)
         if team_state is None or not team_state.ready:
             return
--- a/tealhook/scheduling/launches.py
+++ b/tealhook/scheduling/launches.py
@@ -59,7 +59,10 @@
         if owner is None:
             return  # the next reconciliation settles these launches
         for token, launched in attempts_by_token.items():
-            starts = [wire.TaskStart(a.reservation_id, job_id, a.index, a.number) for job_id, a in launched]
+            starts = [
+                wire.TaskStart(launched_attempt.reservation_id, job_id, launched_attempt.index, launched_attempt.number)
+                for job_id, launched_attempt in launched
+            ]
             self._mesh.call(
                 owner,
                 wire.LaunchRequest(zone, token, team_state.name, team_state.token, starts),
--- a/tealhook/scheduling/reconciliation.py
+++ b/tealhook/scheduling/reconciliation.py
@@ -133,5 +133,5 @@
         start_s, end_s = TIGHTENING_START_SHARE * self._workers.cancel_s, TIGHTENING_END_SHARE * self._workers.cancel_s
         if since_cancelled_s < start_s:
             return default_s
-        left = max(0.0, (end_s - since_cancelled_s) / (end_s - start_s))
-        return self._workers.report_s + left * (single_machine_s - self._workers.report_s)
+        remaining_share = max(0.0, (end_s - since_cancelled_s) / (end_s - start_s))
+        return self._workers.report_s + remaining_share * (single_machine_s - self._workers.report_s)
--- a/tests/test_attempt_index.py
+++ b/tests/test_attempt_index.py
@@ -31,7 +31,9 @@
     assert _found_tasks(index, "m", first) == [("x", 3), ("y", 9), ("y", 10)]
     assert _found_tasks(index, "m", first, TaskKey("a", "y", 9), TaskKey("b", "y", 10)) == [("x", 3), ("y", 10)]
     assert _found_tasks(index, "none", first) == []
-    all_found = [(team.name, job.id, a.index) for team, job, a in index.find_all("m", {"b": second, "a": first})]
+    all_found = [
+        (team.name, job.id, attempt.index) for team, job, attempt in index.find_all("m", {"b": second, "a": first})
+    ]
     assert all_found == [("a", "x", 3), ("a", "y", 9), ("a", "y", 10), ("b", "w", 0)]
     assert [job.id for _, job, _ in index.find_all("m", {"b": second})] == ["w"]
 
