--- a/tealhook/scheduling/__init__.py
+++ b/tealhook/scheduling/__init__.py
@@ -1,4 +1,4 @@
-"""Scheduling: the owner of a team places, launches and reconciles the tasks of all of its jobs."""
+"""Team scheduling: placement, launch and reconciliation of the tasks of all jobs of a team, by the team's owner."""
 
 from tealhook.scheduling.team_scheduler import TeamScheduler
 
--- a/tealhook/scheduling/candidates.py
+++ b/tealhook/scheduling/candidates.py
@@ -1,4 +1,4 @@
-"""Which tasks may be placed in a scheduling cycle, in which order, and within which limits."""
+"""Selection of the jobs whose tasks a scheduling cycle may place, with their order and limits."""
 
 from __future__ import annotations
 
@@ -10,8 +10,8 @@
 from tealhook.jobs.job import Job, WriteState
 from tealhook.jobs.team import TeamState
 from tealhook.scheduling.team_limits import (
-    CPUS,
-    GPUS,
+    CPU_INDEX,
+    GPU_INDEX,
     NOTHING_RESERVED,
     ROUNDING_TOLERANCE,
     remaining_limit,
@@ -20,25 +20,26 @@
 )
 from tealhook.wire.users import PRIORITY_RANK, STANDARD_RANK, JobSpec
 
-MAX_CANDIDATES = 48  # jobs looked at in one cycle
-SIZE_STEPS = 1.5  # steps in which the work left of jobs is compared, for each doubling of it
-RESERVED_SHARE = 0.25  # of a team's limit at most is reserved for overdue jobs, or one task's requirements
-BORROW_SHARE = 0.5  # of the age at which a job is overdue: tasks that take no longer may borrow of what is reserved
-TRUSTED_ESTIMATE_SHARE = 0.75  # of a user's estimate of a run: it is often too high
+MAX_CANDIDATES_PER_CYCLE = 48
+# Jobs whose remaining work falls into the same step rank equally, so that min-min chooses among them.
+SIZE_STEPS_PER_DOUBLING = 1.5
+MAX_RESERVED_LIMIT_SHARE = 0.25  # of a team's limit, for overdue jobs; one task's requirements may exceed it
+MAX_BORROWER_RUN_SHARE = 0.5  # of the starving age: longest estimated run of a task that may borrow
+TRUSTED_ESTIMATE_SHARE = 0.75  # of an estimated run time, because users often overestimate it
 
 
-class Standing(NamedTuple):
-    """What decides a job's place among the candidates, and which capacity it may take."""
+class CandidateFlags(NamedTuple):
+    """Properties of a job that decide its rank and the capacity that it may take."""
 
     within_guarantee: bool
     starving: bool  # it has waited for long
-    overdue: bool  # it has waited for long and has not begun at all, or it is its team's oldest and late to begin
-    late: bool  # it can't be done in time any more
-    borrows: bool = False  # one task, of the limit that is reserved for overdue jobs
+    overdue: bool  # it has waited for long and not begun, or is its team's oldest job and should have begun by now
+    late: bool  # it can no longer finish in time
+    borrows: bool = False  # it takes one task's requirements from the limit reserved for overdue jobs
 
 
 class Rank(NamedTuple):
-    """A candidate's place in the cycle: compared field by field, the lowest is served first."""
+    """Sort key of a candidate: fields are compared in order, and the lowest rank is placed first."""
 
     not_overdue: bool
     negated_priority: int
@@ -48,16 +49,16 @@
     size_step: int
 
 
-class CycleAges(NamedTuple):
-    """The time of a cycle, and the ages from which jobs are treated differently."""
+class CycleTimes(NamedTuple):
+    """Start time of a cycle, and the ages above which jobs are treated differently."""
 
     now: float
-    starving_s: float  # a job that has waited for longer is starving
-    begin_s: float  # a team's oldest job is overdue after this
+    starving_age_s: float  # a job that has waited for longer is starving
+    begin_within_s: float  # a team's oldest job is overdue above this age
 
 
 class Candidate:
-    """A job's tasks that may be placed in this cycle."""
+    """Tasks of one job that may be placed in the current cycle."""
 
     __slots__ = (
         "team",
@@ -72,45 +73,46 @@
         "rank",
     )
 
-    def __init__(self, team: TeamState, job: Job, spec: JobSpec, count: int, standing: Standing) -> None:
-        """Up to `count` tasks of a job that has not ended: `spec` outlasts its end."""
+    def __init__(self, team: TeamState, job: Job, spec: JobSpec, count: int, flags: CandidateFlags) -> None:
+        """Initialize with up to `count` tasks of a job that has not ended; `spec` is kept in case it ends."""
         self.team = team
         self.job = job
         self.spec = spec
-        # Min-min alone serves the short and small first, and ranks by priority. So a job that has waited for
-        # long and has not begun at all goes before everything else, with one task (a gang with all); likewise
-        # a team's oldest job once it is older than every job should be before it begins.
-        self.count = 1 if standing.overdue and not job.gang else count
-        self.within_guarantee = standing.within_guarantee
-        self.starving = standing.starving or standing.overdue
-        self.overdue = standing.overdue
-        self.borrows = standing.borrows
+        # Min-min alone favours short and small tasks, and ranks favour high priorities. To prevent starvation, a job
+        # that has waited for long and not begun goes first, with a single task (a gang with all of its tasks). So does
+        # a team's oldest job once it is older than the time within which every job should begin.
+        self.count = 1 if flags.overdue and not job.gang else count
+        self.within_guarantee = flags.within_guarantee
+        self.starving = flags.starving or flags.overdue
+        self.overdue = flags.overdue
+        self.borrows = flags.borrows
         self.requirements = job.requirements()
         self.rank = Rank(
-            not_overdue=not standing.overdue,
+            not_overdue=not flags.overdue,
             negated_priority=-self.requirements.priority,
-            beyond_guarantee=not standing.within_guarantee,
-            late=standing.late,
+            beyond_guarantee=not flags.within_guarantee,
+            late=flags.late,
             not_starving=not self.starving,
             size_step=self._size_step(),
         )
 
     def _size_step(self) -> int:
-        """The work left of the whole job, on a logarithmic scale.
+        """Return the remaining work of the whole job on a logarithmic scale.
 
-        Users count jobs done in time, not tasks: so what is left of the whole job comes before min-min's order of
-        single tasks, in steps wide enough that min-min still chooses among jobs of about one size.
+        Users count the jobs that finish in time, not their tasks. Therefore the remaining work of the whole job takes
+        precedence over min-min's order of single tasks, in steps wide enough that min-min still chooses among jobs of
+        similar size.
         """
         vcpus, gpus, _memory_gb = self.job.resources
         work = self.job.waiting_count() * max(vcpus, gpus) * max(1.0, self.requirements.run_s)
-        return int(SIZE_STEPS * math.log2(1.0 + work))
+        return int(SIZE_STEPS_PER_DOUBLING * math.log2(1.0 + work))
 
 
 class CandidateSelector:
-    """Chooses the candidates of a cycle from the jobs of the teams that this node owns."""
+    """Selects the candidates of a cycle from the jobs of the teams that this node owns."""
 
     def __init__(self, context: NodeContext, teams: dict[str, TeamState], job_index: JobIndex) -> None:
-        """Objectives and policy are those of `context`; `job_index` knows the jobs of all teams."""
+        """Initialize for the jobs in `teams`; objectives and policy are those of `context`."""
         self._job_index = job_index
         self._policy = context.policy
         self._teams = teams
@@ -118,69 +120,71 @@
         self._lease_s = context.workers.lease_s
         objectives = context.settings.params.objectives
         self._guarantee_s = min(
-            (o.within_s for o in objectives if o.kind == "guarantee" and o.within_s), default=self._lease_s / 2
+            (item.within_s for item in objectives if item.kind == "guarantee" and item.within_s),
+            default=self._lease_s / 2,
         )
-        self._wait_s: dict[str, float] = {}  # class -> within what time its tasks should start
+        self._wait_s: dict[str, float] = {}  # job class -> time within which its tasks should start
         for objective in objectives:
             if objective.kind == "wait" and objective.class_ and objective.within_s:
-                known = self._wait_s.get(objective.class_, objective.within_s)
-                self._wait_s[objective.class_] = min(known, objective.within_s)
+                current_s = self._wait_s.get(objective.class_, objective.within_s)
+                self._wait_s[objective.class_] = min(current_s, objective.within_s)
 
     def select(self, now: float) -> list[Candidate]:
-        """The first `MAX_CANDIDATES`, by rank and then by age."""
+        """Return the first `MAX_CANDIDATES_PER_CYCLE` candidates, by rank and then by age."""
         variables = self._policy.variables()
-        ages = CycleAges(now, self._policy.value("hold_age_s", variables), variables["begin_s"])
-        found: list[Candidate] = []
+        times = CycleTimes(now, self._policy.value("hold_age_s", variables), variables["begin_s"])
+        candidates: list[Candidate] = []
         for team in self._teams.values():
             if team.ready:
-                found.extend(self._select_team(team, ages))
-        found.sort(key=lambda candidate: (candidate.rank, candidate.job.mod_revision))
-        return found[:MAX_CANDIDATES]
+                candidates.extend(self._select_team(team, times))
+        candidates.sort(key=lambda candidate: (candidate.rank, candidate.job.mod_revision))
+        return candidates[:MAX_CANDIDATES_PER_CYCLE]
 
-    def _select_team(self, team: TeamState, ages: CycleAges) -> list[Candidate]:
-        now = ages.now
+    def _select_team(self, team: TeamState, times: CycleTimes) -> list[Candidate]:
+        now = times.now
         remaining = remaining_limit(team)
         jobs = sorted(team.jobs.values(), key=lambda job: job.mod_revision)
-        self._reserve_for_overdue(team, jobs, now, ages.starving_s)
+        self._reserve_for_overdue(team, jobs, now, times.starving_age_s)
         reserved = reserved_for_overdue(team)
         guarantee_left = team.guarantee
         is_oldest = True
-        found: list[Candidate] = []
+        candidates: list[Candidate] = []
         for job in jobs:
             spec = job.spec
             if spec is None or job.finished or job.blocked:
                 continue
-            # The guarantee is for teams whose unfinished jobs fit into it whole. Counting only what is left of
-            # them would let nearly every job preempt others' tasks once most of it is done.
+            # Each unfinished job counts against the guarantee with all of its tasks. If only its remaining tasks
+            # counted, nearly every job could preempt tasks of others once most of it is done.
             total_vcpus = spec.vcpus * job.task_count
             within_guarantee = team.guarantee > 0 and total_vcpus <= guarantee_left + ROUNDING_TOLERANCE
             guarantee_left -= total_vcpus
             if job.waiting_count() <= 0 or not self._may_be_placed(job, now):
                 continue
-            overdue = self._is_overdue(job, now, ages.starving_s)
+            overdue = self._is_overdue(job, now, times.starving_age_s)
             allowed = tasks_within_limit(job, remaining, NOTHING_RESERVED if overdue else reserved)
-            borrows = allowed <= 0 and self._may_borrow(job, spec, now, ages.starving_s)
+            borrows = allowed <= 0 and self._may_borrow(job, spec, now, times.starving_age_s)
             if borrows:
                 allowed = min(1, tasks_within_limit(job, remaining, NOTHING_RESERVED))
-            count = self._placeable(job, min(job.waiting_count(), allowed))
+            count = self._count_placeable(job, min(job.waiting_count(), allowed))
             if count <= 0:
                 continue
-            starving = now - job.waiting_since > ages.starving_s
-            if is_oldest and not job.failing and now - job.schedulable_since > ages.begin_s:
+            starving = now - job.waiting_since > times.starving_age_s
+            if is_oldest and not job.failing and now - job.schedulable_since > times.begin_within_s:
                 overdue, is_oldest = True, False
-            standing = Standing(within_guarantee, starving, overdue, self._is_late(job, spec, now), borrows)
-            found.append(Candidate(team, job, spec, count, standing))
-        return found
+            flags = CandidateFlags(within_guarantee, starving, overdue, self._is_late(job, spec, now), borrows)
+            candidates.append(Candidate(team, job, spec, count, flags))
+        return candidates
 
     @staticmethod
     def _may_be_placed(job: Job, now: float) -> bool:
         return job.loaded and job.write_state is not WriteState.UNCERTAIN and job.not_before <= now
 
     @staticmethod
-    def _placeable(job: Job, count: int) -> int:
-        """How many of `count` tasks may be placed at once."""
+    def _count_placeable(job: Job, count: int) -> int:
+        """Return the number of tasks, out of `count`, that may be placed at once."""
         if job.gang:
-            # A gang is one task of the paper's: all of it at once, after every earlier attempt is off its machine.
+            # The paper treats a gang as one task: all of it is placed together, and only after every earlier attempt
+            # has left its machine.
             return 0 if job.attempts or job.staged or count < job.waiting_count() else count
         if job.failing:
             return min(count, max(0, 1 - len(job.attempts)))
@@ -188,47 +192,47 @@
 
     @staticmethod
     def _is_overdue(job: Job, now: float, starving_age_s: float) -> bool:
-        """Whether a job has waited for long and has not begun at all. One that fails wherever it is tried has begun."""
+        """Check whether a job has waited for long and not begun. A failing job counts as begun."""
         if job.failing:
             return False
         return now - job.schedulable_since > starving_age_s and not (job.done_count or job.attempts or job.staged)
 
     @staticmethod
     def _may_borrow(job: Job, spec: JobSpec, now: float, starving_age_s: float) -> bool:
-        """Whether a job, begun or not, may take one task's requirements of the limit reserved for overdue jobs.
+        """Check whether a job, begun or not, may borrow one task's requirements reserved for overdue jobs.
 
-        An overdue job may find no capacity for minutes. What is reserved for it lies idle, and its team's other tasks
-        keep the rest of the limit taken: a job of low rank that had begun got nothing, though small machines had
-        capacity for it. So one of which no task has been assigned for long borrows, if that comes back soon: lent to
-        long tasks, it delayed the overdue job by another minute.
+        An overdue job may find no capacity for minutes. Its reservation stays unused meanwhile, and other tasks of its
+        team keep the rest of the limit taken: a low-ranked job that had begun got nothing, although small machines had
+        capacity for it. Therefore a job that has had no task assigned for long may borrow, if the task returns the
+        capacity soon: lending to long tasks delayed the overdue job by another minute.
         """
         stalled = now - max(job.schedulable_since, job.last_assigned_at) > starving_age_s and not job.staged
-        return stalled and spec.estimated_run_s <= BORROW_SHARE * starving_age_s
+        return stalled and spec.estimated_run_s <= MAX_BORROWER_RUN_SHARE * starving_age_s
 
     def _reserve_for_overdue(self, team: TeamState, jobs: list[Job], now: float, starving_age_s: float) -> None:
-        """Reserve what overdue jobs need of the team's limit, one task each, until there is enough of it.
+        """Reserve part of the team's limit for overdue jobs, one task's requirements for each.
 
-        A team at its limit gets it back in the steps of the tasks that end: small tasks took each of them again, and a
-        job of larger ones never began though machines had capacity.
+        A team at its limit gets capacity back in small amounts as tasks end. Without a reservation, small tasks took
+        each of them again, and a job of larger tasks never began although machines had capacity for it.
         """
         reserved = [0.0, 0.0]
-        most = (team.limit * RESERVED_SHARE, team.gpus_limit * RESERVED_SHARE)
+        max_reserved = (team.limit * MAX_RESERVED_LIMIT_SHARE, team.gpus_limit * MAX_RESERVED_LIMIT_SHARE)
         for job in jobs:
             if job.spec is None or job.gang or job.blocked or job.not_before > now:
                 continue
             if not self._is_overdue(job, now, starving_age_s):
                 continue
-            for resource in (CPUS, GPUS):
-                needed = job.resources[resource]
-                if not reserved[resource] or reserved[resource] + needed <= most[resource]:
-                    reserved[resource] += needed
+            for resource in (CPU_INDEX, GPU_INDEX):
+                required = job.resources[resource]
+                if not reserved[resource] or reserved[resource] + required <= max_reserved[resource]:
+                    reserved[resource] += required
         team.reserved_for_overdue = reserved
 
     def _is_late(self, job: Job, spec: JobSpec, now: float) -> bool:
-        """Whether a job can't be done in time any more, so that others which can go before it.
+        """Check whether a job can no longer finish in time, so that jobs that still can go first.
 
-        A deadline, its own or that of jobs that depend on it, counts from the submission, an objective from when it
-        was released.
+        A deadline, its own or that of a job that depends on it, counts from the submission; an objective counts from
+        the time at which the job became schedulable.
         """
         due_at = job.deadline_at
         if math.isinf(due_at):
@@ -237,42 +241,44 @@
 
     @staticmethod
     def zone_limits(job: Job, spec: JobSpec, zones: list[str]) -> dict[str, int]:
-        """Most tasks of a job that may still go to each zone; zones without an entry are not limited."""
+        """Return the maximum number of further tasks of a job for each zone; zones without an entry are unlimited."""
         limits: dict[str, int] = {}
         used = job.zones()
         for zone in zones:
-            most = spec.task_count
+            max_tasks = spec.task_count
             if spec.zone is not None and zone != spec.zone:
-                most = 0
+                max_tasks = 0
             if spec.single_zone and used and used != {zone}:
-                most = 0
+                max_tasks = 0
             if spec.spread:
-                most = min(most, (spec.task_count + 1) // 2 - job.count_in_zone(zone))
-            if most < spec.task_count:
-                limits[zone] = max(0, most)
+                max_tasks = min(max_tasks, (spec.task_count + 1) // 2 - job.count_in_zone(zone))
+            if max_tasks < spec.task_count:
+                limits[zone] = max(0, max_tasks)
         return limits
 
     def may_preempt(self, candidate: Candidate, now: float) -> bool:
-        """Whether a job may have others' tasks preempted.
+        """Check whether a job may have tasks of others preempted.
 
-        Capacity frees all the time, and those first in rank get it; to preempt a task throws its work away. So a
-        guarantee waits for half of what its objective allows, and work above standard priority for a quarter (its
-        launch and fetch are still to come); without an objective, a job of that priority itself does not wait.
+        Capacity becomes free all the time and goes to the highest-ranked jobs, whereas preempting a task discards its
+        work. Therefore a job within its team's guarantee waits for half of the time that the guarantee objective
+        allows. A job above standard priority waits for a quarter of its wait objective, because its launch and image
+        fetch still follow. Without a wait objective, a job submitted with such a priority does not wait, and one that
+        has it on behalf of dependent jobs waits for a quarter of a lease.
         """
         if candidate.job.failing:
             return False
-        waited = now - candidate.job.waiting_since
+        waited_s = now - candidate.job.waiting_since
         spec = candidate.spec
         if candidate.requirements.priority > STANDARD_RANK:
-            at_once = PRIORITY_RANK[spec.priority] == candidate.requirements.priority  # not on behalf of others
-            return waited >= self._wait_s.get(spec.job_class, 0.0 if at_once else self._lease_s) / 4
-        return candidate.within_guarantee and waited > self._guarantee_s / 2
+            is_own_priority = PRIORITY_RANK[spec.priority] == candidate.requirements.priority
+            return waited_s >= self._wait_s.get(spec.job_class, 0.0 if is_own_priority else self._lease_s) / 4
+        return candidate.within_guarantee and waited_s > self._guarantee_s / 2
 
     def may_preempt_checkpointing(self, candidate: Candidate) -> bool:
-        """Whether a job may have tasks of lower priority that save checkpoints preempted at once.
+        """Check whether a job may have checkpointing tasks of lower priority preempted at once.
 
-        Little is lost by that. Without it, work of minutes that a team without a guarantee runs on all free capacity
-        had each task of the others wait for half of what the objective for guaranteed starts allows.
+        Little work is lost by that. Without it, when a team without a guarantee ran tasks of several minutes on all
+        free capacity, each task of other teams waited for half of the time that the guarantee objective allows.
         """
         return (
             not candidate.job.failing
--- a/tealhook/scheduling/commit_batch.py
+++ b/tealhook/scheduling/commit_batch.py
@@ -1,4 +1,4 @@
-"""The writes of several jobs that share one transaction."""
+"""Writes of several jobs that share one transaction."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class BatchLimits(NamedTuple):
-    """What one transaction may have."""
+    """Size limits of one transaction."""
 
     max_jobs: int
     max_operations: int
@@ -18,10 +18,10 @@
 
 
 class CommitBatch:
-    """A transaction as it fills up with the writes of jobs. The first write is taken however large it is."""
+    """A transaction that is filled with the writes of jobs. The first write is accepted whatever its size."""
 
     def __init__(self, limits: BatchLimits) -> None:
-        """A transaction without writes."""
+        """Initialize a transaction without writes."""
         self._limits = limits
         self._bytes = 0
         self.conditions: state_wire.Conditions = {}
@@ -29,7 +29,7 @@
         self.writes: list[JobWrite] = []
 
     def try_add(self, write: JobWrite) -> bool:
-        """Add a write, unless it would exceed the limits."""
+        """Add a write and return True, or return False if it would exceed the limits."""
         total_bytes = self._bytes + write.encoded_bytes()
         if self.writes and self._exceeds_limits(write, total_bytes):
             return False
@@ -48,7 +48,7 @@
         )
 
     def mark_pending(self) -> None:
-        """The transaction is about to be sent: nothing else is written of its jobs until its outcome is known."""
+        """Mark the jobs as having a write in progress, so that nothing else is written of them until its outcome."""
         for write in self.writes:
             write.job.write_state = WriteState.PENDING
             write.job.dirty_chunks -= write.written_chunks
--- a/tealhook/scheduling/commit_outcomes.py
+++ b/tealhook/scheduling/commit_outcomes.py
@@ -1,4 +1,4 @@
-"""What becomes of each job of a transaction once its outcome is known."""
+"""Handling of transaction outcomes for each job of a transaction."""
 
 from __future__ import annotations
 
@@ -14,34 +14,34 @@
 from tealhook.jobs.record_store import JobRecordStore
 from tealhook.jobs.team import TeamState
 from tealhook.scheduling.interfaces import JobAttempt, SchedulerActions
-from tealhook.scheduling.job_writes import MAX_HALVINGS, JobWrite, WriteKind
+from tealhook.scheduling.job_writes import MAX_LIMIT_HALVINGS, JobWrite, WriteKind
 from tealhook.scheduling.read_back import RecordReadBack
 
 log = logging.getLogger(__name__)
 
-REJECTION_MEMORY_S = 60.0  # so long after a rejection the writes of a job stay small
-MAX_BACKOFF_S = 60.0  # between tries of a write that is rejected however small it is
+REJECTION_MEMORY_S = 60.0  # a job's writes stay small for this long after a rejection
+MAX_BACKOFF_S = 60.0  # longest pause between attempts to write a job whose smallest write is rejected
 
 
 class PendingLaunches:
-    """Attempts to be launched once all jobs of a transaction have been looked at, by team and zone."""
+    """Attempts to launch once the outcome has been applied to all jobs of a transaction, by team and zone."""
 
     def __init__(self) -> None:
-        """Nothing to launch yet."""
-        self._by_place: dict[tuple[str, str], list[JobAttempt]] = {}
+        """Initialize without attempts."""
+        self._by_team_and_zone: dict[tuple[str, str], list[JobAttempt]] = {}
 
     def add(self, team: str, job: str, attempt: Attempt) -> None:
-        """An attempt is on record."""
-        self._by_place.setdefault((team, attempt.zone), []).append((job, attempt))
+        """Add an attempt whose assignment is durable."""
+        self._by_team_and_zone.setdefault((team, attempt.zone), []).append((job, attempt))
 
-    def launch_all(self, teams: dict[str, TeamState], observer: SchedulerActions) -> None:
-        """Launch them, one call for each team and zone."""
-        for (team, zone), attempts in self._by_place.items():
-            observer.launch(teams[team], zone, attempts)
+    def launch_all(self, teams: dict[str, TeamState], actions: SchedulerActions) -> None:
+        """Launch the attempts, with one call for each team and zone."""
+        for (team, zone), attempts in self._by_team_and_zone.items():
+            actions.launch(teams[team], zone, attempts)
 
 
-class CommitOutcomes:
-    """Applies the outcomes of transactions to the jobs that were in them."""
+class CommitOutcomeHandler:
+    """Applies the outcome of a transaction to the jobs in it."""
 
     def __init__(
         self,
@@ -49,46 +49,49 @@
         job_index: JobIndex,
         records: JobRecordStore,
         proved_absent: dict[str, set[tuple[int, int]]],
-        observer: SchedulerActions,
+        actions: SchedulerActions,
         read_back: RecordReadBack,
     ) -> None:
-        """`proved_absent`: of each job the attempts that are gone, until that is durable."""
+        """Initialize the handler.
+
+        `proved_absent` holds each job's attempts that are known to be off their machines, until that is durable.
+        """
         self._effects = context.effects
         self._workers = context.workers
         self._job_index = job_index
         self._records = records
         self._proved_absent = proved_absent
-        self._observer = observer
+        self._actions = actions
         self._read_back = read_back
 
-    # -- executed
+    # -- committed
 
-    def apply_executed(self, write: JobWrite, revision: int, launches: PendingLaunches) -> None:
-        """A write is durable, as of `revision`."""
+    def apply_committed(self, write: JobWrite, revision: int, launches: PendingLaunches) -> None:
+        """Apply a write that is durable as of `revision`."""
         job = write.job
-        self._forget_rejections(job)
+        self._end_backoff(job)
         for chunk in write.written_chunks:
             job.chunk_revisions.pop(chunk, None)
         job.chunk_revisions.update(dict.fromkeys(write.kept_chunks, revision))
         if write.kind is WriteKind.FINISH:
             self._apply_finish(write.team_state, job, revision)
         elif write.kind is WriteKind.DELETE:
-            self._observer.remove_if_unassigned(write.team_state, job)
+            self._actions.remove_if_unassigned(write.team_state, job)
         else:
             self._apply_assignment(write, launches)
 
-    def _forget_rejections(self, job: Job) -> None:
-        """A write of the job was taken: back-off ends at once, but writes stay small for a while."""
+    def _end_backoff(self, job: Job) -> None:
+        """End the backoff of a job after a successful write; its writes stay small for `REJECTION_MEMORY_S`."""
         if self._effects.now() - job.last_rejected_at > REJECTION_MEMORY_S:
             job.rejections = 0
         elif job.rejections:
-            job.rejections = min(job.rejections, MAX_HALVINGS)
+            job.rejections = min(job.rejections, MAX_LIMIT_HALVINGS)
 
     def _apply_finish(self, team_state: TeamState, job: Job, revision: int) -> None:
-        """A job's end is durable."""
+        """Mark a job as done, after its end became durable, and clean up after it."""
         if job.spec is not None and log.isEnabledFor(logging.DEBUG):
             log.debug(
-                "job %s done after %.1f s: class %s, %d tasks of %g CPUs, estimated run %.1f s, deadline %s",
+                "job %s: done after %.1f s, class %s, %d tasks of %g CPUs, estimated run time %.1f s, deadline %s",
                 job.id,
                 self._effects.now() - job.schedulable_since,
                 job.spec.job_class,
@@ -100,16 +103,17 @@
         self._job_index.apply_record(job.id, self._records.build_ended_record(job.team, JobState.DONE), revision)
         job.spec = None
         if job.attempts:
-            self._observer.stop_all(team_state, job)
+            self._actions.stop_all(team_state, job)
         else:
-            self._observer.remove_if_unassigned(team_state, job)
+            self._actions.remove_if_unassigned(team_state, job)
 
     def _apply_assignment(self, write: JobWrite, launches: PendingLaunches) -> None:
-        """A job's assignments are durable: what was staged may be launched."""
+        """Turn the staged tasks of a durable write into attempts, to be launched."""
         team_state, job = write.team_state, write.job
         job.move_attempts(write.moved_attempts, write.written_chunks)
         if 0 in write.written_chunks:
-            job.uncertain_chunks.clear()  # a copy of unknown outcome fails on the first chunk's revision from now on
+            # From now on, a copy of unknown outcome fails on the first chunk's revision.
+            job.uncertain_chunks.clear()
         written = {attempt.index for attempt in write.staged}
         job.has_deferrable_change = bool(job.dirty_chunks or job.staged.keys() - written)
         if not job.dirty_chunks:
@@ -120,17 +124,17 @@
             del job.staged[attempt.index]
             job.attempts[attempt.index] = attempt
             job.last_assigned_at = self._effects.now()
-            self._observer.index_attempt(team_state, job, attempt)
+            self._actions.index_attempt(team_state, job, attempt)
             if job.spec is not None:
                 launches.add(team_state.name, job.id, attempt)
         if job.spec is None:
-            self._observer.stop_all(team_state, job)
-        self._observer.forget_finished(team_state, job)
+            self._actions.stop_all(team_state, job)
+        self._actions.forget_finished(team_state, job)
 
-    # -- not executed, or nobody knows
+    # -- not executed, or of unknown outcome
 
     def apply_unknown(self, write: JobWrite) -> None:
-        """A write may have been executed, or may yet be: the job waits until its records have been read."""
+        """Read a job's records again: the write may have been executed, or may still be."""
         job = write.job
         job.dirty_chunks |= write.written_chunks
         if 0 not in write.written_chunks:
@@ -138,7 +142,10 @@
         self._start_read_back(write)
 
     def apply_not_executed(self, write: JobWrite, failed_keys: list[str]) -> None:
-        """A write is certainly not executed. A conflict of one job must not delay the others for ever."""
+        """Unstage obsolete tasks of a job whose write was certainly not executed, or read the job's records again.
+
+        If the cause of a conflict remained, the job would also fail later transactions that it shares with others.
+        """
         team_state, job = write.team_state, write.job
         now = self._effects.now()
         job.dirty_chunks |= write.written_chunks
@@ -148,8 +155,8 @@
         job_ended = job_key(job.id) in failed_keys
         lost_zones = {attempt.zone for attempt in write.staged if partition_key(attempt.zone) in failed_keys}
         for attempt in write.staged:
-            expired = now - attempt.assigned_at > self._workers.lease_s / 4  # its reservation
-            obsolete = attempt.zone in lost_zones or job_ended or expired
+            reservation_expired = now - attempt.assigned_at > self._workers.lease_s / 4
+            obsolete = attempt.zone in lost_zones or job_ended or reservation_expired
             if obsolete and job.staged.get(attempt.index) is attempt:
                 del job.staged[attempt.index]
                 job.return_task(attempt.index, now)
@@ -162,18 +169,19 @@
         self._read_back.read_assignments(write.team_state, write.job)
 
     def back_off(self, job: Job) -> None:
-        """A job's write was rejected though it was alone in its transaction: by limits that we don't know.
+        """Reduce and delay the writes of a job after one was rejected that had a transaction to itself.
 
-        It is written smaller, and then less and less often: it must not delay others.
+        The state store's limits are then lower than the settings say. The job's writes become smaller, and after that
+        less and less frequent, so that they don't delay other jobs.
         """
         now = self._effects.now()
         job.rejections += 1
         job.last_rejected_at = now
-        if job.rejections > MAX_HALVINGS:
-            backoff_s = self._workers.report_s * 2 ** (job.rejections - MAX_HALVINGS)
+        if job.rejections > MAX_LIMIT_HALVINGS:
+            backoff_s = self._workers.report_s * 2 ** (job.rejections - MAX_LIMIT_HALVINGS)
             job.write_not_before = now + min(backoff_s, MAX_BACKOFF_S)
             log.error(
-                "job %s: its record is rejected by the state service, next try in %.0f s",
+                "job %s: write of its assignment record rejected by the state store, next attempt in %.0f s",
                 job.id,
                 job.write_not_before - now,
             )
--- a/tealhook/scheduling/cycle.py
+++ b/tealhook/scheduling/cycle.py
@@ -1,4 +1,4 @@
-"""The scheduling cycle: inquire at the partitions, plan by min-min, reserve there, stage for the commit."""
+"""Scheduling cycle: ask partitions for capacity, plan by min-min, reserve, and stage tasks for the next commit."""
 
 from __future__ import annotations
 
@@ -13,24 +13,25 @@
 from tealhook.mesh import Mesh
 from tealhook.scheduling.candidates import Candidate, CandidateSelector
 from tealhook.scheduling.interfaces import CommitQueue
-from tealhook.scheduling.planning import Inquiry, PlacementPlanner, PlannedReservation
-from tealhook.scheduling.staging import AttemptStaging
+from tealhook.scheduling.planning import InquiryPhase, PlacementPlanner, PlannedReservation
+from tealhook.scheduling.staging import AttemptStager
 from tealhook.scheduling.zone_calls import call_zones
 from tealhook.state_store import StateClient
 from tealhook.wire import mesh as wire
 
-# Pauses between cycles, as shares of the heartbeat period.
-SHORT_PAUSE_SHARE = 1 / 8  # while tasks are being placed
-MAX_IDLE_PAUSE_SHARE = 1 / 4  # while there is nothing to place, or nowhere
-MAX_FULL_PAUSE_SHARE = 1 / 2  # while nothing that waits can be placed
-REPLY_TIMEOUT_SHARE = 1 / 2  # of the heartbeat period, for a partition's owner to answer
-PAUSE_GROWTH = 1.5
-PAUSE_JITTER = 0.25  # nodes must not inquire in step
+# Shares of the heartbeat period.
+MIN_PAUSE_SHARE = 1 / 8  # pause between cycles while tasks are being placed
+MAX_IDLE_PAUSE_SHARE = 1 / 4  # longest pause while there are no candidates or no partition owners
+MAX_FULL_PAUSE_SHARE = 1 / 2  # longest pause while none of the candidates can be placed
+REPLY_TIMEOUT_SHARE = 1 / 2  # time for a partition's owner to reply
+
+PAUSE_GROWTH_FACTOR = 1.5
+PAUSE_JITTER_SHARE = 0.25  # jitter keeps nodes from asking partitions at the same time
 
 
 @dataclass(slots=True)
 class ReservationPhase:
-    """The reservations of one cycle that are being asked for."""
+    """Reservation requests of one cycle."""
 
     by_zone: dict[str, list[PlannedReservation]]
     planned_at: float
@@ -38,7 +39,7 @@
 
 
 class SchedulingCycle:
-    """Places the tasks of all teams that this node owns, cycle after cycle."""
+    """Places the tasks of all teams that this node owns, in one cycle after another."""
 
     def __init__(
         self,
@@ -50,7 +51,7 @@
         job_index: JobIndex,
         commit_queue: CommitQueue,
     ) -> None:
-        """`commit_queue` makes durable what cycles stage."""
+        """Initialize and schedule the first cycle; `commit_queue` makes durable what cycles stage."""
         self._effects = context.effects
         self._ownership = ownership
         self._store = store
@@ -59,27 +60,27 @@
         self._report_s = context.workers.report_s
         self.selector = CandidateSelector(context, teams, job_index)
         self._planner = PlacementPlanner(store, teams, self.selector)
-        self._staging = AttemptStaging(teams, self.selector)
+        self._stager = AttemptStager(teams, self.selector)
         self._is_running = False
-        self._pause_s = self._report_s * SHORT_PAUSE_SHARE
+        self._pause_s = self._report_s * MIN_PAUSE_SHARE
         self._schedule_next()
 
     # -- pauses between cycles
 
     def _schedule_next(self) -> None:
-        jitter = 1.0 - PAUSE_JITTER + 2 * PAUSE_JITTER * self._effects.rng.random()
-        self._effects.later(self._pause_s * jitter, self._run)
+        jitter = 1.0 - PAUSE_JITTER_SHARE + 2 * PAUSE_JITTER_SHARE * self._effects.rng.random()
+        self._effects.later(self._pause_s * jitter, self._start_cycle)
 
     def wake(self) -> None:
-        """Something may be placeable now: the next pauses are short."""
-        self._pause_s = self._report_s * SHORT_PAUSE_SHARE
+        """Reset the pause between cycles to its minimum, since tasks may be placeable now."""
+        self._pause_s = self._report_s * MIN_PAUSE_SHARE
 
     def _lengthen_pause(self, max_share: float) -> None:
-        self._pause_s = min(self._report_s * max_share, self._pause_s * PAUSE_GROWTH)
+        self._pause_s = min(self._report_s * max_share, self._pause_s * PAUSE_GROWTH_FACTOR)
 
-    # -- the phases of a cycle
+    # -- phases of a cycle
 
-    def _run(self) -> None:
+    def _start_cycle(self) -> None:
         if self._is_running:
             return
         candidates = self.selector.select(self._effects.now()) if self._may_place() else []
@@ -92,17 +93,17 @@
         self._inquire(candidates, owners)
 
     def _may_place(self) -> bool:
-        """Whether what is placed now can be made durable soon.
+        """Check whether new assignments can be committed soon.
 
-        While assignments wait for write tokens, capacity reserved for more of them would expire before it is used, be
-        reserved again, and the writes spent on it be lost.
+        While assignments wait for write tokens, capacity reserved for more of them would expire unused and be reserved
+        again, and the writes spent on it would be lost.
         """
         return self._store.is_served and not self._commit_queue.is_backlogged and not self._ownership.lease_uncertain
 
     def _partition_owners(self) -> dict[str, str]:
-        """The owners of the partitions, by zone.
+        """Return the partition owners to ask, by zone.
 
-        Owners that do not answer would delay each cycle; those that can be reached go on without them.
+        Owners that do not reply would delay each cycle, so only reachable ones are asked if there are any.
         """
         owners = {
             zone: owner for zone in self._ownership.zones() if (owner := self._ownership.owner(partition_key(zone)))
@@ -111,12 +112,12 @@
         return reachable or owners
 
     def _inquire(self, candidates: list[Candidate], owners: dict[str, str]) -> None:
-        """Ask the owner of each partition for its earliest capacity, by requirements."""
-        inquiry = Inquiry(candidates, owners)
+        """Ask the owner of each partition for its earliest capacity for the candidates' requirements."""
+        inquiry = InquiryPhase(candidates, owners)
         self._call_zones(inquiry.owners, inquiry.requests(), inquiry.on_reply, lambda: self._plan(inquiry))
 
-    def _plan(self, inquiry: Inquiry) -> None:
-        """All partitions have answered, or had the time for it: choose among what they have."""
+    def _plan(self, inquiry: InquiryPhase) -> None:
+        """Choose among the offered capacities, after all partitions have replied or the time for it is over."""
         now = self._effects.now()
         by_zone: dict[str, list[PlannedReservation]] = {}
         for planned in self._planner.plan(inquiry, now):
@@ -127,14 +128,16 @@
             self._end_cycle(0)
 
     def _reserve(self, phase: ReservationPhase, owners: dict[str, str]) -> None:
-        """Ask each partition's owner for the capacity that was chosen there."""
+        """Request the planned reservations from the owner of each partition."""
         requests: dict[str, wire.Body] = {
-            zone: wire.ReserveRequest(zone, [self._reservation_request(planned) for planned in reservations])
+            zone: wire.ReserveRequest(zone, [self._build_request(planned) for planned in reservations])
             for zone, reservations in phase.by_zone.items()
         }
-        self._call_zones(owners, requests, partial(self._stage, phase), lambda: self._end_cycle(phase.staged_count))
+        self._call_zones(
+            owners, requests, partial(self._stage_granted, phase), lambda: self._end_cycle(phase.staged_count)
+        )
 
-    def _reservation_request(self, planned: PlannedReservation) -> wire.ReservationRequest:
+    def _build_request(self, planned: PlannedReservation) -> wire.ReservationRequest:
         candidate, awaits_capacity = planned.candidate, planned.choice.awaits_capacity
         return wire.ReservationRequest(
             job=candidate.job.id,
@@ -149,12 +152,12 @@
             non_preemptible=candidate.overdue,
         )
 
-    def _stage(self, phase: ReservationPhase, zone: str, reply: wire.Body | None) -> None:
-        """Stage tasks on what a partition's owner granted, if it did and for every request."""
+    def _stage_granted(self, phase: ReservationPhase, zone: str, reply: wire.Body | None) -> None:
+        """Stage tasks on the granted reservations, if the reply covers all requests to the zone."""
         reservations = phase.by_zone[zone]
         if isinstance(reply, wire.ReserveReply) and len(reply.grants) == len(reservations):
             for planned, grants in zip(reservations, reply.grants, strict=True):
-                phase.staged_count += self._staging.stage(planned, reply.token, grants, phase.planned_at)
+                phase.staged_count += self._stager.stage(planned, reply.token, grants, phase.planned_at)
 
     def _end_cycle(self, staged_count: int) -> None:
         self._is_running = False
--- a/tealhook/scheduling/failure_backoff.py
+++ b/tealhook/scheduling/failure_backoff.py
@@ -1,4 +1,4 @@
-"""Retries with backoff: when the next tasks of a job may start after one failed or was refused by its worker."""
+"""Backoff before the next tasks of a job start, after an attempt failed or was refused by its worker."""
 
 from __future__ import annotations
 
@@ -12,32 +12,32 @@
 
 log = logging.getLogger(__name__)
 
-MAX_DOUBLINGS = 5  # of the pause between the retries of a failing job
-REFUSALS = (ExitCause.FULL, ExitCause.BUSY, ExitCause.UNKNOWN)  # the worker did not take the task
+MAX_BACKOFF_DOUBLINGS = 5
+REFUSAL_CAUSES = (ExitCause.FULL, ExitCause.BUSY, ExitCause.UNKNOWN)  # the worker did not accept the task
 
 
 class FailureBackoff:
     """Delays the next tasks of jobs whose attempts ended without success."""
 
     def __init__(self, context: NodeContext) -> None:
-        """Pauses are multiples of the heartbeat period, with jitter."""
+        """Initialize with pauses in multiples of the heartbeat period of `context`."""
         self._effects = context.effects
         self._report_s = context.workers.report_s
 
     def on_failed_attempt(self, job: Job, attempt: Attempt, cause: str | None, now: float) -> None:
-        """An attempt ended without success: set when the job's next tasks may start."""
+        """Set the time from which a job's next tasks may start, after an attempt ended without success."""
         if cause == ExitCause.ERROR:
             self._delay_failing_job(job, attempt, now)
-        elif cause in REFUSALS:
-            log.info("%s/%d refused by %s: %s", job.id, attempt.index, attempt.machine, cause)
+        elif cause in REFUSAL_CAUSES:
+            log.info("task %s/%d: refused by machine %s: %s", job.id, attempt.index, attempt.machine, cause)
             job.not_before = max(job.not_before, now + self._report_s / 2)
 
     def _delay_failing_job(self, job: Job, attempt: Attempt, now: float) -> None:
         job.record_failure(attempt.machine)
         if job.failing:
-            doublings = min(job.failures - FAILING_THRESHOLD, MAX_DOUBLINGS)
-            pause = self._report_s * 2**doublings
-            job.not_before = now + pause * (0.75 + 0.5 * self._effects.rng.random())
-        log.debug("%s/%d failed on %s", job.id, attempt.index, attempt.machine)
-        if job.failures == FAILING_THRESHOLD:  # once, however often it fails from now on
-            log.info("%s: %d tasks failed and none is done: retried one at a time", job.id, job.failures)
+            doublings = min(job.failures - FAILING_THRESHOLD, MAX_BACKOFF_DOUBLINGS)
+            pause_s = self._report_s * 2**doublings
+            job.not_before = now + pause_s * (0.75 + 0.5 * self._effects.rng.random())
+        log.debug("task %s/%d: failed on machine %s", job.id, attempt.index, attempt.machine)
+        if job.failures == FAILING_THRESHOLD:  # logged once, however often the job's tasks fail after that
+            log.info("job %s: %d tasks failed in a row, retrying one task at a time", job.id, job.failures)
--- a/tealhook/scheduling/interfaces.py
+++ b/tealhook/scheduling/interfaces.py
@@ -8,40 +8,40 @@
 from tealhook.jobs.job import Job
 from tealhook.jobs.team import TeamState
 
-JobAttempt = tuple[str, Attempt]  # the job's id and an attempt of it
+JobAttempt = tuple[str, Attempt]  # a job's id, and one of its attempts
 
 
 class SchedulerActions(Protocol):
-    """What becomes of jobs once something of them is durable, or certainly is not."""
+    """Actions of the team scheduler that follow the outcome of a commit or a read-back."""
 
     def index_attempt(self, team_state: TeamState, job: Job, attempt: Attempt) -> None:
-        """An attempt is on record: from now on it may be on its machine."""
+        """Index an attempt that is on record: from now on it may be on its machine."""
 
     def launch(self, team_state: TeamState, zone: str, attempts: list[JobAttempt]) -> None:
-        """Start attempts in a zone that are on record."""
+        """Launch recorded attempts of one zone."""
 
     def stop_all(self, team_state: TeamState, job: Job) -> None:
-        """Stop whatever a job may have on machines."""
+        """Stop all tasks of a job that may be on machines."""
 
     def forget_finished(self, team_state: TeamState, job: Job) -> None:
-        """Have workers forget tasks whose outcome is on record."""
+        """Have workers forget finished tasks whose outcome is on record."""
 
     def remove_if_unassigned(self, team_state: TeamState, job: Job) -> None:
-        """Drop a terminal job once none of its tasks may be on a machine."""
+        """Remove an ended job once none of its tasks may be on a machine."""
 
     def reconcile(self, team_state: TeamState) -> None:
-        """Ask the partitions what is on the machines of a team."""
+        """Ask partition owners for the tasks on a team's machines."""
 
     def wake_scheduler(self) -> None:
-        """Start the next scheduling cycle soon: there may be something to place."""
+        """Start the next scheduling cycle soon, since tasks may be placeable."""
 
 
 class CommitQueue(Protocol):
-    """Whatever makes pending changes of jobs durable."""
+    """Queue of job changes to commit."""
 
     @property
     def is_backlogged(self) -> bool:
-        """Whether staged assignments wait for write tokens."""
+        """True while staged assignments wait for write tokens."""
 
-    def schedule_commit(self, delay: float | None = None) -> None:
-        """Commit what is pending after `delay` seconds, or after a short default delay."""
+    def schedule_commit(self, delay_s: float | None = None) -> None:
+        """Schedule a commit of the pending changes after `delay_s`, or after a short default delay."""
--- a/tealhook/scheduling/job_writes.py
+++ b/tealhook/scheduling/job_writes.py
@@ -1,4 +1,4 @@
-"""What a transaction holds of one job: chunks of its assignment record, its end, and the conditions of both."""
+"""Writes of single jobs: chunks of the assignment record, the end of the job, and the conditions of both."""
 
 from __future__ import annotations
 
@@ -20,23 +20,23 @@
 from tealhook.wire import state as state_wire
 from tealhook.wire.common import encode_json
 
-MAX_TRANSACTION_BYTES = 56 * 1024  # of the 64 KiB that a transaction may have
-MAX_HALVINGS = 2  # so often the write of a job is halved, once one was rejected
-CONDITIONS_PER_OPERATION = 4  # a transaction may have so many times as many conditions as operations
-CONDITION_BYTES = 60  # about what a condition takes of a transaction
-FIXED_CONDITIONS = 3  # of an assignment: the team's ownership, the job's record, the first chunk of its assignments
+MAX_TRANSACTION_BYTES = 56 * 1024  # leaves a margin to the state store's limit of 64 KiB
+MAX_LIMIT_HALVINGS = 2  # the size limits of a job's write are halved at most this often after rejections
+CONDITIONS_PER_OPERATION = 4  # the state store accepts this many conditions for each operation that it accepts
+ESTIMATED_CONDITION_BYTES = 60  # encoded size of one condition
+FIXED_ASSIGNMENT_CONDITIONS = 3  # team ownership, the job's record, and the first chunk of its assignment record
 
 
 class WriteKind(enum.Enum):
-    """What a write does to a job."""
+    """Purpose of a write."""
 
-    ASSIGN = "assign"  # makes its assignments durable
-    FINISH = "finish"  # ends it, and deletes its assignment record
+    ASSIGN = "assign"  # makes a job's assignments durable
+    FINISH = "finish"  # ends a job, and deletes its assignment record
     DELETE = "delete"  # deletes the assignment record of a job that has ended
 
 
 class ChunkLimits(NamedTuple):
-    """What one write of a job may have."""
+    """Size limits of one write of a job."""
 
     max_bytes: float  # of one chunk
     max_chunks: int
@@ -44,37 +44,37 @@
 
 @dataclass(slots=True, eq=False)
 class JobWrite:
-    """What a transaction holds of one job, and what becomes of the job once it is executed."""
+    """A job's part of a transaction, and the changes to the job that follow when it is committed."""
 
     team_state: TeamState
     job: Job
     kind: WriteKind
     conditions: state_wire.Conditions
-    condition_chunks: set[int]  # on whose revisions it depends
+    condition_chunks: set[int]  # chunks whose revisions are conditions
     operations: list[state_wire.Operation] = field(default_factory=list)
-    staged: list[Attempt] = field(default_factory=list)  # as they were when it was laid out
+    staged: list[Attempt] = field(default_factory=list)  # attempts that the write makes durable
     written_chunks: set[int] = field(default_factory=set)
-    kept_chunks: set[int] = field(default_factory=set)  # those of them that exist afterwards
-    moved_attempts: list[MovedAttempt] = field(default_factory=list)  # with the chunks that name them afterwards
+    kept_chunks: set[int] = field(default_factory=set)  # written chunks that are not deleted
+    moved_attempts: list[MovedAttempt] = field(default_factory=list)  # attempts that another chunk names afterwards
 
     def encoded_bytes(self) -> int:
-        """About what it takes of a transaction."""
-        return sum(len(encode_json(operation)) for operation in self.operations) + CONDITION_BYTES * len(
+        """Return the approximate size of the write in a transaction."""
+        return sum(len(encode_json(operation)) for operation in self.operations) + ESTIMATED_CONDITION_BYTES * len(
             self.conditions
         )
 
 
 class JobWriteBuilder:
-    """Lays out the writes of jobs, within the limits of the state service."""
+    """Builds the writes of jobs within the limits of the state store."""
 
     def __init__(self, context: NodeContext, store: StateClient, records: JobRecordStore) -> None:
-        """Limits are those of `store`; ends are written as `records` has them."""
+        """Initialize for the limits of `store`; `records` builds the records of ended jobs."""
         self._effects = context.effects
         self._store = store
         self._records = records
 
     def build(self, team_state: TeamState, job: Job) -> JobWrite | None:
-        """The write that makes a job's present state durable; None when there is nothing to write."""
+        """Return the write that makes a job's present state durable, or None if there is nothing to write."""
         if job.finished:
             return self._build_finish(team_state, job)
         if job.spec is None:
@@ -82,14 +82,15 @@
         return self._build_assignment(team_state, job)
 
     def _start_write(self, team_state: TeamState, job: Job, kind: WriteKind) -> JobWrite:
-        """A write with the conditions that every write of a job has."""
-        # The first chunk is in every condition, and written by every assignment: so a write that is executed late
-        # can't slip in between, and attempts given out by any chunk are counted.
+        """Return a write with the conditions that all writes of a job have in common."""
+        # Every write is conditional on the first chunk, and every assignment writes it. So a write that is executed
+        # late fails, and attempt numbers given out by any chunk are counted in the first.
         conditions = {
             team_key(team_state.name): team_state.token,
             assignment_key(team_state.name, job.id): job.chunk_revisions.get(0, 0),
         }
-        # A copy that may be executed late must not write chunks of which we would know nothing.
+        # Without conditions on the uncertain chunks, a copy that is executed late could write chunks unknown to this
+        # scheduler.
         condition_chunks = {0, *sorted(job.uncertain_chunks)[: self._store.max_operations]}
         return JobWrite(team_state, job, kind, conditions, condition_chunks)
 
@@ -120,13 +121,13 @@
         write.staged = list(job.staged.values())
         if write.staged:
             write.conditions[job_key(job.id)] = job.mod_revision
-            write.conditions.update({partition_key(a.zone): a.partition_token for a in write.staged})
+            write.conditions.update({partition_key(new.zone): new.partition_token for new in write.staged})
         self._add_chunks(write, chunks)
         return write
 
     @staticmethod
     def _deletable_chunks(job: Job, max_chunks: int) -> list[int]:
-        """Chunks to delete of a job that is over: none while it has anything on a machine; the first goes last."""
+        """Return chunks of an ended job to delete: none while it has attempts, and the first chunk last."""
         if job.attempts:
             return []
         return sorted(job.chunk_revisions, reverse=True)[: max(1, max_chunks)]
@@ -135,7 +136,7 @@
     def _add_chunks(write: JobWrite, chunks: dict[int, dict | None]) -> None:
         """Add the operations on chunks, and the conditions on their revisions.
 
-        A chunk without a value is deleted, and so is one without assignments, unless it is the first.
+        A chunk with the value None is deleted, and so is one without assignments unless it is the first.
         """
         job, team = write.job, write.team_state.name
         for chunk, value in chunks.items():
@@ -151,26 +152,26 @@
             write.conditions[assignment_key(team, job.id, chunk)] = job.chunk_revisions.get(chunk, 0)
 
     def _chunk_limits(self, job: Job) -> ChunkLimits:
-        """Limits of one write of a job; they are halved, `MAX_HALVINGS` times at most, each time it is rejected."""
+        """Return the limits of one write of a job, halved for each rejection up to `MAX_LIMIT_HALVINGS` times."""
         max_bytes = min(self._store.record_bytes, MAX_TRANSACTION_BYTES / 2)
         max_chunks = min(self._store.max_operations, int(MAX_TRANSACTION_BYTES / max_bytes))
         if job.rejections:
-            halvings = min(job.rejections, MAX_HALVINGS)
+            halvings = min(job.rejections, MAX_LIMIT_HALVINGS)
             return ChunkLimits(max_bytes / 2**halvings, max(2, max_chunks >> halvings))
         return ChunkLimits(max_bytes, max_chunks)
 
     def _lay_out_chunks(self, job: Job, limits: ChunkLimits) -> dict[int, dict | None]:
-        """The chunks to be written with what is staged; what finds no capacity in this write waits again."""
+        """Return the chunks to write with the staged tasks in them; tasks that don't fit wait again."""
         max_conditions = CONDITIONS_PER_OPERATION * self._store.max_operations
-        # A chunk that is written, and another whose attempts move to it, take a condition each.
-        other_conditions = FIXED_CONDITIONS + 2 * limits.max_chunks + len(job.uncertain_chunks)
+        # Each written chunk needs a condition, and so may another chunk whose attempts move to it.
+        other_conditions = FIXED_ASSIGNMENT_CONDITIONS + 2 * limits.max_chunks + len(job.uncertain_chunks)
         self._limit_zones(job, max_conditions - other_conditions)
         chunks: dict[int, dict | None] = {**job.lay_out(int(limits.max_bytes), limits.max_chunks)}
         self._unstage(job, (attempt for attempt in job.staged.values() if attempt.chunk < 0))
         return chunks
 
     def _limit_zones(self, job: Job, max_zones: int) -> None:
-        """Conditions are limited: what is staged in more zones than a transaction can name waits for the next."""
+        """Unstage tasks in more zones than a transaction has conditions for; they wait for a later one."""
         excess = sorted({attempt.zone for attempt in job.staged.values()})[max(1, max_zones) :]
         self._unstage(job, (attempt for attempt in job.staged.values() if attempt.zone in excess))
 
--- a/tealhook/scheduling/planning.py
+++ b/tealhook/scheduling/planning.py
@@ -1,4 +1,4 @@
-"""The plan of a scheduling cycle: which tasks go to which partition, chosen by min-min."""
+"""Plan of a scheduling cycle: the reservations to request for each candidate, chosen by min-min."""
 
 from __future__ import annotations
 
@@ -14,84 +14,84 @@
 
 log = logging.getLogger(__name__)
 
-MAX_LOGGED_S = 999.0  # a partition that will not be free for longer is logged with this
+MAX_LOGGED_WAIT_S = 999.0  # longer waits for free capacity are logged as this value
 
 
 @dataclass(slots=True)
-class Inquiry:
-    """What the partitions' owners are asked on behalf of the candidates of a cycle, and what they reply."""
+class InquiryPhase:
+    """Capacity inquiries of one cycle: the candidates, the owners that are asked, and their replies."""
 
     candidates: list[Candidate]
-    owners: dict[str, str]  # of the partitions, by zone
-    requirements: list[wire.TaskRequirements] = field(init=False)  # each once
+    owners: dict[str, str]  # zone -> owner of its partition
+    requirements: list[wire.TaskRequirements] = field(init=False)  # without duplicates
     replies: dict[str, wire.CapacityReply] = field(default_factory=dict)
 
     def __post_init__(self) -> None:
-        """Candidates with equal requirements are asked for once."""
+        """Collect the requirements; candidates with equal ones share an inquiry."""
         self.requirements = list(dict.fromkeys(candidate.requirements for candidate in self.candidates))
 
     def requests(self) -> dict[str, wire.Body]:
-        """The request to each zone."""
+        """Return the request for each zone."""
         return {zone: wire.CapacityInquiry(zone, self.requirements) for zone in self.owners}
 
     def on_reply(self, zone: str, reply: wire.Body | None) -> None:
-        """Keep a reply, if it is one and answers every question."""
+        """Keep a reply if it has a capacity for each of the requirements."""
         if isinstance(reply, wire.CapacityReply) and len(reply.capacities) == len(self.requirements):
             self.replies[zone] = reply
 
 
 @dataclass(frozen=True, slots=True)
 class PlannedReservation:
-    """Capacity that is to be reserved for tasks of a candidate in one zone."""
+    """Capacity to reserve for tasks of a candidate in one zone."""
 
     candidate: Candidate
     choice: Choice
 
     @property
     def zone(self) -> str:
-        """Where."""
+        """Zone of the partition that min-min chose."""
         return self.choice.zone
 
     @property
     def count(self) -> int:
-        """For how many tasks."""
+        """Number of tasks to reserve capacity for."""
         return self.choice.count
 
 
 class PlacementPlanner:
     """Plans the reservations of a cycle from the partitions' replies."""
 
-    def __init__(self, store: StateClient, teams: dict[str, TeamState], selection: CandidateSelector) -> None:
-        """`selection` knows in which zones jobs may run, and which of them may preempt."""
+    def __init__(self, store: StateClient, teams: dict[str, TeamState], selector: CandidateSelector) -> None:
+        """Initialize a planner; `selector` provides the zone limits of jobs and decides which may preempt."""
         self._store = store
         self._teams = teams
-        self._selection = selection
+        self._selector = selector
 
-    def plan(self, inquiry: Inquiry, now: float) -> list[PlannedReservation]:
-        """The reservations to ask for, in the order in which they were chosen."""
+    def plan(self, inquiry: InquiryPhase, now: float) -> list[PlannedReservation]:
+        """Return the reservations to request, in the order in which they were chosen."""
         positions = {requirements: i for i, requirements in enumerate(inquiry.requirements)}
         groups: list[Group] = []
-        by_job: dict[str, Candidate] = {}
+        candidates_by_job: dict[str, Candidate] = {}
         for candidate in inquiry.candidates:
             if candidate.job.spec is None or self._teams.get(candidate.team.name) is not candidate.team:
                 continue
             position = positions[candidate.requirements]
             capacities = {zone: reply.capacities[position] for zone, reply in inquiry.replies.items()}
-            by_job[candidate.job.id] = candidate
-            groups.append(self._group(candidate, capacities, now))
+            candidates_by_job[candidate.job.id] = candidate
+            groups.append(self._build_group(candidate, capacities, now))
         choices = self._limit_to_write_budget(plan_cycle(groups))
-        self._log_groups(groups, by_job)
-        planned = (PlannedReservation(by_job[choice.group.job], choice) for choice in choices)
-        return [reservation for reservation in planned if self._is_wanted(reservation)]
+        self._log_groups(groups, candidates_by_job)
+        planned = (PlannedReservation(candidates_by_job[choice.group.job], choice) for choice in choices)
+        return [reservation for reservation in planned if self._should_request(reservation)]
 
-    def _group(self, candidate: Candidate, capacities: dict[str, wire.Capacity], now: float) -> Group:
-        """A candidate as min-min takes it, with what each partition has for it."""
+    def _build_group(self, candidate: Candidate, capacities: dict[str, wire.Capacity], now: float) -> Group:
+        """Return the min-min group of a candidate, with each partition's capacity for it."""
         spec = candidate.spec
-        selection = self._selection
-        partitions = {zone: self._view(candidate, zone, capacity) for zone, capacity in capacities.items()}
-        zone_limits = selection.zone_limits(candidate.job, spec, list(capacities))
+        selector = self._selector
+        partitions = {zone: self._build_view(candidate, zone, capacity) for zone, capacity in capacities.items()}
+        zone_limits = selector.zone_limits(candidate.job, spec, list(capacities))
         if spec.single_zone and not candidate.job.zones():
-            # All of the job must go to one zone: the one with most capacity now.
+            # All tasks of the job must go to one zone: the one that has most capacity now.
             best = max(
                 capacities, key=lambda zone: (partitions[zone].cached + partitions[zone].uncached, zone), default=None
             )
@@ -101,29 +101,30 @@
             count=candidate.count,
             rank=candidate.rank,
             image_gb=spec.image_gb,
-            run_s=0.0 if spec.kind == JobKind.SERVICE else spec.estimated_run_s,  # services: free time alone
+            # For services, min-min compares only when they can start.
+            run_s=0.0 if spec.kind == JobKind.SERVICE else spec.estimated_run_s,
             resources=candidate.job.resources,
             partitions=partitions,
             starving=candidate.starving,
-            can_preempt=selection.may_preempt(candidate, now) or selection.may_preempt_checkpointing(candidate),
+            can_preempt=selector.may_preempt(candidate, now) or selector.may_preempt_checkpointing(candidate),
             zone_limits=zone_limits,
         )
 
     @staticmethod
-    def _view(candidate: Candidate, zone: str, capacity: wire.Capacity) -> PartitionView:
-        """A partition's capacity for a candidate."""
+    def _build_view(candidate: Candidate, zone: str, capacity: wire.Capacity) -> PartitionView:
+        """Return a partition's capacity for a candidate."""
         feedback = candidate.team.factors.get(zone)
         factor = feedback.factor if feedback else 0.0
         if not candidate.job.gang:
             return PartitionView(
                 capacity.cached, capacity.uncached, capacity.next_free_s, capacity.fetch_gb_per_s, factor
             )
-        # A gang goes to one partition, once capacity for all of it is free there.
+        # A gang goes to a single partition, once that has free capacity for all of its tasks.
         total = capacity.cached + capacity.uncached
         return PartitionView(0, total if total >= candidate.count else 0, NEVER_S, capacity.fetch_gb_per_s, factor)
 
     def _limit_to_write_budget(self, choices: list[Choice]) -> list[Choice]:
-        """The first choices, of no more jobs than can be made durable soon: one operation each."""
+        """Return the first choices, for no more jobs than can be committed soon at one write operation each."""
         max_jobs = max(1, self._store.available_writes(CallPriority.ASSIGN))
         jobs: set[str] = set()
         for position, choice in enumerate(choices):
@@ -134,11 +135,11 @@
         return choices
 
     @staticmethod
-    def _is_wanted(reservation: PlannedReservation) -> bool:
-        """Whether to ask for it.
+    def _should_request(reservation: PlannedReservation) -> bool:
+        """Check whether a planned reservation is useful.
 
-        Less than a whole gang is of no use, and capacity that is not free yet is reserved only for jobs that starve
-        or may preempt.
+        Part of a gang is not, and capacity that is not free yet is reserved only for jobs that are starving or may
+        preempt.
         """
         choice = reservation.choice
         if reservation.candidate.job.gang and choice.count < reservation.candidate.count:
@@ -146,19 +147,20 @@
         return not choice.awaits_capacity or choice.group.starving or choice.group.can_preempt
 
     @staticmethod
-    def _log_groups(groups: list[Group], by_job: dict[str, Candidate]) -> None:
+    def _log_groups(groups: list[Group], candidates_by_job: dict[str, Candidate]) -> None:
         if not log.isEnabledFor(logging.DEBUG):
             return
         for group in groups:
             log.debug(
-                "scheduling cycle: job %s, %s, resources %s, %d of %d tasks unplaced, capacity left %s",
+                "scheduling cycle: job %s, %s, resources %s, %d of %d tasks unplaced, "
+                "remaining capacity by zone (cached, uncached, next free in seconds) %s",
                 group.job,
                 group.rank,
                 group.resources,
                 group.count,
-                by_job[group.job].count,
+                candidates_by_job[group.job].count,
                 {
-                    zone: (view.cached, view.uncached, round(min(view.next_free_s, MAX_LOGGED_S), 1))
+                    zone: (view.cached, view.uncached, round(min(view.next_free_s, MAX_LOGGED_WAIT_S), 1))
                     for zone, view in group.partitions.items()
                 },
             )
--- a/tealhook/scheduling/team_limits.py
+++ b/tealhook/scheduling/team_limits.py
@@ -1,4 +1,4 @@
-"""How many tasks of a job fit into what is left of its team's limit."""
+"""Remaining part of a team's limit, and the number of a job's tasks that fit into it."""
 
 from __future__ import annotations
 
@@ -7,13 +7,13 @@
 from tealhook.jobs.job import Job
 from tealhook.jobs.team import TeamState
 
-NO_LIMIT = 1e9  # what is left where nothing is limited: more than any task needs
-ROUNDING_TOLERANCE = 1e-6  # sums of requested resources are compared with this much slack
-CPUS, GPUS = 0, 1  # positions of what a limit counts in the resources of a task, and in `TeamState.allocated`
+UNLIMITED = 1e9  # more of a resource than any task requires
+ROUNDING_TOLERANCE = 1e-6  # sums of requested resources are compared with this tolerance
+CPU_INDEX, GPU_INDEX = 0, 1  # positions in a task's resources, and arguments of `TeamState.allocated`
 
 
 class LimitedResources(NamedTuple):
-    """An amount of each resource that a team's limit counts."""
+    """Amounts of the resources that a team's limit counts."""
 
     vcpus: float
     gpus: float
@@ -23,23 +23,23 @@
 
 
 def remaining_limit(team: TeamState, count_gpus: bool = True) -> LimitedResources:
-    """What the tasks that may be on machines leave of a team's limit.
+    """Return what a team's limit leaves beside the tasks that are staged or may be on machines.
 
-    `count_gpus`: False where no GPUs are needed, since to add up what all jobs have takes time.
+    Pass `count_gpus=False` where no GPUs are needed: adding up the allocations of all jobs takes time.
     """
     return LimitedResources(
-        team.limit - team.allocated(CPUS) if team.limit > 0 else NO_LIMIT,
-        team.gpus_limit - team.allocated(GPUS) if count_gpus and team.gpus_limit > 0 else NO_LIMIT,
+        team.limit - team.allocated(CPU_INDEX) if team.limit > 0 else UNLIMITED,
+        team.gpus_limit - team.allocated(GPU_INDEX) if count_gpus and team.gpus_limit > 0 else UNLIMITED,
     )
 
 
 def reserved_for_overdue(team: TeamState) -> LimitedResources:
-    """What of a team's limit only overdue jobs may take."""
+    """Return the part of a team's limit that only overdue jobs may take."""
     return LimitedResources(*team.reserved_for_overdue)
 
 
 def tasks_within_limit(job: Job, remaining: LimitedResources, reserved: LimitedResources) -> int:
-    """Tasks of a job that fit into what is left of its team's limit, without what is reserved for others."""
+    """Return the number of a job's tasks that fit into `remaining` without what is `reserved` for other jobs."""
     vcpus, gpus, _memory_gb = job.resources
     count = job.task_count
     if vcpus > 0:
--- a/tealhook/scheduling/zone_calls.py
+++ b/tealhook/scheduling/zone_calls.py
@@ -1,4 +1,4 @@
-"""Calls to the partitions of several zones at once."""
+"""Concurrent calls to the partition owners of several zones."""
 
 from __future__ import annotations
 
@@ -20,16 +20,16 @@
 ) -> None:
     """Send each zone's request to the owner of its partition.
 
-    `on_reply(zone, reply)` is called as each reply comes, with None when it has not come in time; `on_complete()` once,
-    right after the last of them.
+    `on_reply(zone, reply)` is called for each zone, with None as the reply after a timeout. `on_complete()` is called
+    once, directly after the last `on_reply`.
     """
     unanswered = set(requests)
 
-    def answered(zone: str, reply: wire.Body | None) -> None:
+    def on_zone_reply(zone: str, reply: wire.Body | None) -> None:
         unanswered.discard(zone)
         on_reply(zone, reply)
         if not unanswered:
             on_complete()
 
     for zone, request in requests.items():
-        mesh.call(owners[zone], request, timeout_s, partial(answered, zone))
+        mesh.call(owners[zone], request, timeout_s, partial(on_zone_reply, zone))
