--- a/tealhook/scheduling/planning.py
+++ b/tealhook/scheduling/planning.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass, field
 
 from tealhook.jobs.team import TeamState
-from tealhook.placement import NEVER_S, Choice, Group, PartitionView, plan_cycle
+from tealhook.placement import NO_CAPACITY_S, PartitionView, PlacementChoice, TaskGroup, plan_cycle
 from tealhook.scheduling.candidates import Candidate, CandidateSelector
 from tealhook.state_store import CallPriority, StateClient
 from tealhook.wire import mesh as wire
@@ -45,7 +45,7 @@
     """Capacity to reserve for tasks of a candidate in one zone."""
 
     candidate: Candidate
-    choice: Choice
+    choice: PlacementChoice
 
     @property
     def zone(self) -> str:
@@ -70,7 +70,7 @@
     def plan(self, inquiry: InquiryPhase, now: float) -> list[PlannedReservation]:
         """Return the reservations to request, in the order in which they were chosen."""
         positions = {requirements: i for i, requirements in enumerate(inquiry.requirements)}
-        groups: list[Group] = []
+        groups: list[TaskGroup] = []
         candidates_by_job: dict[str, Candidate] = {}
         for candidate in inquiry.candidates:
             if candidate.job.spec is None or self._teams.get(candidate.team.name) is not candidate.team:
@@ -84,7 +84,7 @@
         planned = (PlannedReservation(candidates_by_job[choice.group.job], choice) for choice in choices)
         return [reservation for reservation in planned if self._should_request(reservation)]
 
-    def _build_group(self, candidate: Candidate, capacities: dict[str, wire.Capacity], now: float) -> Group:
+    def _build_group(self, candidate: Candidate, capacities: dict[str, wire.Capacity], now: float) -> TaskGroup:
         """Return the min-min group of a candidate, with each partition's capacity for it."""
         spec = candidate.spec
         selector = self._selector
@@ -96,7 +96,7 @@
                 capacities, key=lambda zone: (partitions[zone].cached + partitions[zone].uncached, zone), default=None
             )
             zone_limits |= {zone: 0 for zone in capacities if zone != best}
-        return Group(
+        return TaskGroup(
             job=candidate.job.id,
             count=candidate.count,
             rank=candidate.rank,
@@ -121,9 +121,11 @@
             )
         # A gang goes to a single partition, once that has free capacity for all of its tasks.
         total = capacity.cached + capacity.uncached
-        return PartitionView(0, total if total >= candidate.count else 0, NEVER_S, capacity.fetch_gb_per_s, factor)
+        return PartitionView(
+            0, total if total >= candidate.count else 0, NO_CAPACITY_S, capacity.fetch_gb_per_s, factor
+        )
 
-    def _limit_to_write_budget(self, choices: list[Choice]) -> list[Choice]:
+    def _limit_to_write_budget(self, choices: list[PlacementChoice]) -> list[PlacementChoice]:
         """Return the first choices, for no more jobs than can be committed soon at one write operation each."""
         max_jobs = max(1, self._store.available_writes(CallPriority.ASSIGN))
         jobs: set[str] = set()
@@ -147,7 +149,7 @@
         return not choice.awaits_capacity or choice.group.starving or choice.group.can_preempt
 
     @staticmethod
-    def _log_groups(groups: list[Group], candidates_by_job: dict[str, Candidate]) -> None:
+    def _log_groups(groups: list[TaskGroup], candidates_by_job: dict[str, Candidate]) -> None:
         if not log.isEnabledFor(logging.DEBUG):
             return
         for group in groups:
