--- a/tests/test_failing_jobs.py
+++ b/tests/test_failing_jobs.py
@@ -1,4 +1,4 @@
-"""Jobs whose tasks always fail are retried with backoff: no other job loses anything by them."""
+"""Jobs whose tasks always fail: retries with backoff that take no capacity from other jobs."""
 
 from __future__ import annotations
 
@@ -11,40 +11,41 @@
 from tests.simulated_cluster import SimulatedCluster
 from tests.user_requests import UNIFORM_JOB
 
-FAILING = UNIFORM_JOB | {"crew": "team-0", "expected_s": 20.0, "plays": 30}
-SECONDS = 150.0
+FAILING_JOB = UNIFORM_JOB | {"crew": "team-0", "expected_s": 20.0, "plays": 30}
+RUN_S = 150.0
 
 
-def _submit_failing_jobs(cluster: SimulatedCluster, jobs: int) -> list[str]:
-    """So many jobs, of which each task fails."""
-    found = []
-    for _ in range(jobs):
-        found.append(cluster.submit(**FAILING))
-        cluster.jobs[found[-1]].always_fails = True
-    return found
+def _submit_failing_jobs(cluster: SimulatedCluster, count: int) -> list[str]:
+    """Submit jobs whose tasks all fail, and return their ids."""
+    jobs = []
+    for _ in range(count):
+        jobs.append(cluster.submit(**FAILING_JOB))
+        cluster.jobs[jobs[-1]].always_fails = True
+    return jobs
 
 
-def _run(seed: int, failing_jobs: int, **over) -> tuple[SimulatedCluster, list[str]]:
+def _run_with_failing_jobs(seed: int, failing_jobs: int, **over) -> tuple[SimulatedCluster, list[str]]:
     cluster = SimulatedCluster(seed, cpu_limit=64.0, **over)
     cluster.run(25.0)
     jobs = _submit_failing_jobs(cluster, failing_jobs)
-    cluster.run(SECONDS)
+    cluster.run(RUN_S)
     return cluster, jobs
 
 
 @pytest.mark.parametrize("seed", range(3))
 def test_failing_jobs_are_retried_with_backoff_and_stay_known(seed):
-    cluster, jobs = _run(seed, 3)
-    # Their whole width once; then one task at a time: twice a report period, after that ever more seldom.
+    cluster, jobs = _run_with_failing_jobs(seed, 3)
+    # Each job starts as many tasks as the limit allows once. Then it starts one task at a time: twice in a heartbeat
+    # period at first, and less and less often after that.
     assert cluster.task_starts <= 3 * (64 / 2 + 16)
     cluster.run(60.0)
     assert cluster.task_starts <= 3 * (64 / 2 + 22)
-    answers: list[int | None] = []
+    statuses: list[int | None] = []
     for job in jobs:
         for node in cluster.node_names:
-            cluster.query(job, node, answers.append)
+            cluster.query(job, node, statuses.append)
     cluster.run(2.0)
-    assert answers == [200] * (3 * len(jobs))
+    assert statuses == [200] * (3 * len(jobs))
     for job in jobs:
         cluster.cancel(job)
     cluster.run(10.0)
@@ -53,14 +54,14 @@
 
 def test_failing_job_is_logged_once(caplog):
     with caplog.at_level(logging.INFO, logger="tealhook"):
-        _cluster, jobs = _run(4, 2)
+        _cluster, jobs = _run_with_failing_jobs(4, 2)
     for job in jobs:
         assert sum(job in record.getMessage() for record in caplog.records) == 1
 
 
 def test_failing_job_demands_capacity_for_one_task():
-    """Not none at all either: the machines that it was tried on may have been to blame."""
-    cluster, jobs = _run(5, 4)
+    """A failing job still demands capacity for one task, since the machines that it was tried on may be faulty."""
+    cluster, jobs = _run_with_failing_jobs(5, 4)
     assert (
         0
         < sum(item.count for node in cluster.controllers.values() for item in node.team_scheduler.demand())
@@ -69,34 +70,34 @@
 
 
 def test_failing_jobs_neither_age_nor_preempt():
-    cluster, jobs = _run(6, 2)
-    seen: set[str] = set()
+    cluster, jobs = _run_with_failing_jobs(6, 2)
+    selected_jobs: set[str] = set()
     for _ in range(60):
         cluster.run(1.0)
         for node in cluster.controllers.values():
-            selection, now = node.team_scheduler.cycle.selector, node.context.effects.now() + 1000.0
-            for candidate in selection.select(now):
-                seen.add(candidate.job.id)
-                assert not (candidate.overdue or selection.may_preempt(candidate, now))
-                assert not selection.may_preempt_checkpointing(candidate)
-    assert seen == set(jobs)
+            selector, now = node.team_scheduler.cycle.selector, node.context.effects.now() + 1000.0
+            for candidate in selector.select(now):
+                selected_jobs.add(candidate.job.id)
+                assert not (candidate.overdue or selector.may_preempt(candidate, now))
+                assert not selector.may_preempt_checkpointing(candidate)
+    assert selected_jobs == set(jobs)
 
 
 def test_recovered_job_regains_full_parallelism():
-    """Whether its mistake was mended or it had only met faulty machines: one task that is done shows it."""
-    cluster, jobs = _run(7, 1)
+    """One successful task ends the backoff, whether the job was corrected or had only been on faulty machines."""
+    cluster, jobs = _run_with_failing_jobs(7, 1)
     job = jobs[0]
-    assert any(_failing(node, job) for node in cluster.controllers.values())
+    assert any(_is_failing(node, job) for node in cluster.controllers.values())
     cluster.jobs[job].always_fails = False
     run_until(cluster, lambda: any(name.startswith(job) for name in cluster.finished_tasks), 120.0)
     cluster.run(2.0)
     running = sum(len(worker.started_tasks()) for worker in cluster.cloud.machines.values())
-    assert not any(_failing(node, job) for node in cluster.controllers.values()) and running >= 3
+    assert not any(_is_failing(node, job) for node in cluster.controllers.values()) and running >= 3
     cluster.run(200.0)
     assert cluster.jobs[job].final_status == "done"
 
 
-def _failing(node: Controller, job: str) -> bool:
+def _is_failing(node: Controller, job: str) -> bool:
     return any(
         job in team_state.jobs and team_state.jobs[job].failing for team_state in node.team_scheduler.teams.values()
     )
--- a/tests/test_scheduling.py
+++ b/tests/test_scheduling.py
@@ -1,4 +1,4 @@
-"""Scheduling cycles: no job starves; which tasks are preempted."""
+"""Scheduling cycles: prevention of starvation, choice of the tasks to preempt, and guarantees of teams."""
 
 import json
 
@@ -16,36 +16,39 @@
 from tests.simulated_cluster import SimulatedCluster, SimulatedJob
 from tests.user_requests import ANY_PRIORITY_JOB, submit_periodically
 
-JOB = ANY_PRIORITY_JOB | {"pull_gb": 0.6}
+JOB_WITH_IMAGE = ANY_PRIORITY_JOB | {"pull_gb": 0.6}
 
 
-def _flood_of_short_jobs() -> SimulatedJob:
-    """Short urgent jobs at more than the cluster can do, and one large job of low urgency among them."""
+def _run_flood_of_short_jobs() -> SimulatedJob:
+    """Submit more short urgent jobs than the cluster can run, and return a large job of low priority among them."""
     cluster = SimulatedCluster(7, cpu_limit=1e6)
-    submit_periodically(cluster, 0.8, urgency="urgent", plays=6, vcpus=4.0, expected_s=6.0, **JOB)
+    submit_periodically(cluster, 0.8, urgency="urgent", plays=6, vcpus=4.0, expected_s=6.0, **JOB_WITH_IMAGE)
     cluster.run(30.0)
-    large = cluster.jobs[cluster.submit(urgency="low", plays=60, vcpus=4.0, expected_s=30.0, **JOB)]
+    large = cluster.jobs[cluster.submit(urgency="low", plays=60, vcpus=4.0, expected_s=30.0, **JOB_WITH_IMAGE)]
     cluster.run(150.0)
     return large
 
 
 def test_large_job_starts_within_four_minutes_despite_short_jobs():
-    large = _flood_of_short_jobs()
+    large = _run_flood_of_short_jobs()
     assert large.started_at is not None and large.started_at - large.submitted_at < 240.0
 
 
 def test_without_aging_large_job_starves(monkeypatch):
-    whole = candidates.Candidate.__init__
+    original = candidates.Candidate.__init__
 
-    def unaged(self, team, job, spec, count, standing):
-        whole(self, team, job, spec, count, standing._replace(starving=False, overdue=False, borrows=False))
+    def init_without_aging(self, team, job, spec, count, flags):
+        original(self, team, job, spec, count, flags._replace(starving=False, overdue=False, borrows=False))
 
-    monkeypatch.setattr(candidates.Candidate, "__init__", unaged)
-    assert _flood_of_short_jobs().started_at is None
+    monkeypatch.setattr(candidates.Candidate, "__init__", init_without_aging)
+    assert _run_flood_of_short_jobs().started_at is None
 
 
 def _preempted_jobs(due_s: float, preempt: bool = True) -> list[str]:
-    """Whose task is stopped for an urgent one: a long job's, begun just now, or a short job's that has run longer."""
+    """Return the jobs whose tasks are preempted for an urgent one.
+
+    The candidates are a task of a long job that has just started, and one of a short job that has run for longer.
+    """
     cluster = SimulatedCluster(1, nodes=1)
     cluster.run(10.0)
     node = cluster.controllers["n0"]
@@ -76,7 +79,7 @@
             ).encode()
         )
         node.job_index.active[job] = JobEntry(spec, "team-0", 1, node.context.effects.wall() - 20.0)
-        held = MachineTask(
+        task = MachineTask(
             f"{job}/0",
             job,
             0,
@@ -86,19 +89,20 @@
             cluster.now - ran_s,
             running_since=node.context.effects.now() - ran_s,
         )
-        machine.tasks[AttemptKey(held.task_id, 1)] = held
+        machine.tasks[AttemptKey(task.task_id, 1)] = task
     state = PartitionState(node.context, "za", 1, node.job_index, node.machine_types, {}, {"host-0": machine})
-    shape = mesh.TaskRequirements(4.0, 0.0, 4.0, "", 0.0, True, (), 2, 20.0)
-    want = mesh.ReservationRequest("req-000003", "team-1", shape, 1, False, False, [], 1, preempt, False)
-    pending = PendingGrant(want, PackingOrder([machine], lambda _machine: NO_RESOURCES), node.context.effects.now())
+    requirements = mesh.TaskRequirements(4.0, 0.0, 4.0, "", 0.0, True, (), 2, 20.0)
+    request = mesh.ReservationRequest("req-000003", "team-1", requirements, 1, False, False, [], 1, preempt, False)
+    pending = PendingGrant(request, PackingOrder([machine], lambda _machine: NO_RESOURCES), node.context.effects.now())
     scope = PreemptionScope.ANY if preempt else PreemptionScope.CHECKPOINTING
     plan = PreemptionPlanner(state).plan(machine, pending, scope)
-    return [held.job for held in plan.victims] if plan is not None else []
+    return [task.job for task in plan.victims] if plan is not None else []
 
 
 def test_task_is_not_preempted_if_its_job_would_miss_its_deadline():
-    """Guards against a job of long tasks that was stopped, with all that it had begun, each time it began anew."""
-    assert _preempted_jobs(due_s=118.0) == ["req-000002"]  # 100 s more would not do, what is left of them does
+    """Guards against a job of long tasks that lost all of its running tasks to preemption each time they restarted."""
+    # The long task finishes in time if it keeps running, but not if it restarts.
+    assert _preempted_jobs(due_s=118.0) == ["req-000002"]
 
 
 def test_preemption_prefers_tasks_that_lose_least_progress():
@@ -109,46 +113,54 @@
     assert _preempted_jobs(due_s=1000.0, preempt=False) == []
 
 
-def _within_guarantee(sizes: list[int]) -> list[bool]:
-    """Which jobs of tasks of 8 CPUs, in the order in which they came, lie within a guarantee of 1,800 CPUs."""
+def _are_within_guarantee(task_counts: list[int]) -> list[bool]:
+    """Return for each job, by its number of tasks of 8 CPUs each, whether it is within a guarantee of 1,800 CPUs."""
     cluster = SimulatedCluster(8, nodes=1, cpu_guarantee=1800.0, cpu_limit=3000.0)
     cluster.run(10.0)
     node = cluster.controllers["n0"]
     jobs = []
-    for plays in sizes:
-        jobs.append(cluster.submit(crew="team-0", urgency="standard", plays=plays, vcpus=8.0, expected_s=500.0, **JOB))
+    for task_count in task_counts:
+        jobs.append(
+            cluster.submit(
+                crew="team-0", urgency="standard", plays=task_count, vcpus=8.0, expected_s=500.0, **JOB_WITH_IMAGE
+            )
+        )
         cluster.run(1.0)
-    found = {
-        item.job.id: item.within_guarantee
-        for item in node.team_scheduler.cycle.selector.select(node.context.effects.now())
+    within_guarantee = {
+        candidate.job.id: candidate.within_guarantee
+        for candidate in node.team_scheduler.cycle.selector.select(node.context.effects.now())
     }
-    return [found[job] for job in jobs]
+    return [within_guarantee[job] for job in jobs]
 
 
 def test_guarantee_of_1800_cpus_is_computed_exactly():
-    """Jobs count whole, in the order in which they came; one that does not fit shuts out all that come after it."""
-    assert _within_guarantee([100, 75, 50]) == [True, True, True]  # 1,800 to the CPU
-    assert _within_guarantee([100, 75, 51]) == [True, True, False]
-    assert _within_guarantee([100, 126, 1]) == [True, False, False]
+    """Jobs count with all of their tasks, in order of submission; one that does not fit excludes all later ones."""
+    assert _are_within_guarantee([100, 75, 50]) == [True, True, True]  # exactly 1,800 CPUs
+    assert _are_within_guarantee([100, 75, 51]) == [True, True, False]
+    assert _are_within_guarantee([100, 126, 1]) == [True, False, False]
 
 
-def _team_at_its_limit() -> SimulatedJob:
-    """Small tasks keep a team at its limit; a job of larger ones comes among them, and machines have room for it."""
+def _run_team_at_its_limit() -> SimulatedJob:
+    """Keep a team at its limit with small tasks, and return a job of larger tasks that machines have capacity for."""
     cluster = SimulatedCluster(5, cpu_limit=16.0, guarantee_objective=False, cpu_guarantee=16.0)
-    submit_periodically(cluster, 2.0, crew="team-0", urgency="standard", plays=8, vcpus=1.0, expected_s=6.0, **JOB)
+    submit_periodically(
+        cluster, 2.0, crew="team-0", urgency="standard", plays=8, vcpus=1.0, expected_s=6.0, **JOB_WITH_IMAGE
+    )
     cluster.run(30.0)
-    large = cluster.jobs[cluster.submit(crew="team-0", urgency="standard", plays=2, vcpus=14.0, expected_s=10.0, **JOB)]
+    large = cluster.jobs[
+        cluster.submit(crew="team-0", urgency="standard", plays=2, vcpus=14.0, expected_s=10.0, **JOB_WITH_IMAGE)
+    ]
     cluster.run(200.0)
     return large
 
 
-def test_large_tasks_start_although_small_ones_fill_the_quota():
-    large = _team_at_its_limit()
+def test_large_tasks_start_although_small_ones_fill_the_limit():
+    large = _run_team_at_its_limit()
     assert large.started_at is not None and large.started_at - large.submitted_at < 120.0
 
 
-def test_without_quota_reservation_large_tasks_starve(monkeypatch):
+def test_without_reservation_large_tasks_starve(monkeypatch):
     monkeypatch.setattr(
-        candidates.CandidateSelector, "_reserve_for_overdue", lambda self, team, jobs, now, hold_age_s: None
+        candidates.CandidateSelector, "_reserve_for_overdue", lambda self, team, jobs, now, starving_age_s: None
     )
-    assert _team_at_its_limit().started_at is None
+    assert _run_team_at_its_limit().started_at is None
