--- a/tests/simulated_cluster.py
+++ b/tests/simulated_cluster.py
@@ -19,7 +19,7 @@
 from tests.simulation.network import Network, make_request
 from tests.simulation.rules import RuleChecker
 from tests.simulation.settings import MACHINE_TYPES, settings_text
-from tests.standins import Cloud, StateService
+from tests.standins import Cloud, StateStore
 from tests.user_requests import FinishedTasks
 from tests.versions import Version, current_version, production_version
 
@@ -89,7 +89,7 @@
         self.incarnations: dict[str, int] = {}
         self._last_incarnation = 0
         self.network = Network(self)
-        self.state = StateService(self)
+        self.state = StateStore(self)
         self.cloud = Cloud(self, MACHINE_TYPES, 2)
         for name in self.node_names:
             self.start(name)
--- a/tests/simulation/state_link.py
+++ b/tests/simulation/state_link.py
@@ -104,7 +104,7 @@
         net, cluster = self.network, self.cluster
         if net.state_answer_delay_s:
             wait = cluster.rng.uniform(0.0, net.state_answer_delay_s)
-            net.event_counts["slow answer of the state service"] += wait > 0.5
+            net.event_counts["slow answer of the state store"] += wait > 0.5
             cluster.call_later(wait, lambda: net.deliver(self.node, "state", lambda: self.answer(status, data)))
         else:
             net.deliver(self.node, "state", lambda: self.answer(status, data))
--- a/tests/standins/__init__.py
+++ b/tests/standins/__init__.py
@@ -1,7 +1,7 @@
 """Stand-ins for the state service, the cloud and the workers, by the published protocol, in virtual time."""
 
 from tests.standins.cloud import Cloud
-from tests.standins.state import StateService
+from tests.standins.state import StateStore
 from tests.standins.worker import Worker
 
-__all__ = ["Cloud", "StateService", "Worker"]
+__all__ = ["Cloud", "StateStore", "Worker"]
--- a/tests/standins/state.py
+++ b/tests/standins/state.py
@@ -11,7 +11,7 @@
 from tests.simulation.errors import RuleViolationError
 
 
-class StateService:
+class StateStore:
     """A consistent store with leases and watches. Lost answers and late requests are the network's doing."""
 
     def __init__(self, cluster: Any) -> None:
--- a/tests/test_combined_faults_network.py
+++ b/tests/test_combined_faults_network.py
@@ -103,7 +103,7 @@
             assert cluster.now < now + 15.0
     cluster.state.set_down(True)
     cluster.run(1.2 * CANCEL_S)
-    assert cluster.network.event_counts["slow answer of the state service"] > 0
+    assert cluster.network.event_counts["slow answer of the state store"] > 0
     assert (leader in owners(cluster, kind)) == (kind == "team")
     assert bool(new_owners(cluster, kind, now)) == (kind != "team")
     cluster.state.set_down(False)
--- a/tests/test_combined_faults_runs.py
+++ b/tests/test_combined_faults_runs.py
@@ -14,7 +14,7 @@
     "unanswered write read by another",
     "late heartbeat: after newer ones",
     "heartbeat copy for the next owner: at its owner",
-    "slow answer of the state service",
+    "slow answer of the state store",
     "machine up before its rental was answered",
 )
 COVERAGE = FaultCoverage(REQUIRED_EVENTS, lambda seed: combined_faults_run(seed).network.event_counts)
--- a/tests/test_machine_types.py
+++ b/tests/test_machine_types.py
@@ -17,14 +17,14 @@
 from tealhook.wire.common import encode_json
 from tests.machine_type_offers import MACHINE_TYPES_KEY, machine_type_names, offered_types
 from tests.simulated_cluster import SimulatedCluster
-from tests.standins import StateService
+from tests.standins import StateStore
 
 TIGHT = {"value_kb": 0.7, "txn_ops": 2}  # four types a value, two changes a transaction
 ASKED_S = 40.0  # prices are asked for once in this time at least: eight times the list's lag
 Rows = dict[str, tuple[Any, int, int | None]]
 
 
-def _records(state: StateService) -> Rows:
+def _records(state: StateStore) -> Rows:
     return {key: row for key, row in state.rows.items() if key.startswith(MACHINE_TYPES_KEY)}
 
 
--- a/tests/test_mixed_version_wire.py
+++ b/tests/test_mixed_version_wire.py
@@ -11,7 +11,7 @@
 from tests.infrastructure_faults import combined_faults_run
 from tests.mixed_versions import NODE_NAMES, run_wide_job
 from tests.simulated_cluster import Network
-from tests.standins import StateService
+from tests.standins import StateStore
 from tests.versions import Version, current_version, production_version
 
 
@@ -30,7 +30,7 @@
         )  # (package, kind) -> key, value
 
     def record(self, patch: pytest.MonkeyPatch) -> None:
-        send, commit = Network.send_mesh_frame, StateService._txn
+        send, commit = Network.send_mesh_frame, StateStore._txn
         decoder = current_version().module("wire.mesh").envelope_decoder
         recorder = self
 
@@ -39,7 +39,7 @@
             recorder.frames[(network.cluster.running_versions[sender].package, kind)].append(frame)
             send(network, sender, peer, frame)
 
-        def txn(state: StateService, body: dict, node: str) -> tuple:
+        def txn(state: StateStore, body: dict, node: str) -> tuple:
             status, answer = commit(state, body, node)
             if status == 200:
                 for op in body.get("apply", []):
@@ -51,7 +51,7 @@
             return status, answer
 
         patch.setattr(Network, "send_mesh_frame", mesh)
-        patch.setattr(StateService, "_txn", txn)
+        patch.setattr(StateStore, "_txn", txn)
 
 
 def _kind(key: str, value: dict) -> str:
