--- a/tests/__init__.py
+++ b/tests/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of the service, and the cluster in virtual time in which most of them run it."""
+"""Tests of the service; most of them run it in a cluster that is simulated in virtual time."""
--- a/tests/api_client.py
+++ b/tests/api_client.py
@@ -1,4 +1,4 @@
-"""A client of the HTTP interface for tests, and submissions written field by field."""
+"""A client of the HTTP API for tests, and submissions that are composed field by field."""
 
 from __future__ import annotations
 
@@ -8,8 +8,8 @@
 from tests.simulated_cluster import SimulatedCluster, make_request
 from tests.simulation.requests import is_job_read
 
-MISSING = None
-SUBMISSION_FIELDS = {
+MISSING = None  # value of a field that a submission leaves out
+SUBMISSION_FIELDS = {  # name -> value as JSON text
     "lineup": '"train"',
     "crew": '"team-0"',
     "shape": '"array"',
@@ -39,24 +39,24 @@
 
 
 class ApiClient:
-    """A cluster with users who send requests to a node of their choice."""
+    """A client that sends requests to a node of its choice in a simulated cluster."""
 
-    def __init__(self, seed: int, nodes: int, **over) -> None:
-        self.cluster = SimulatedCluster(seed, nodes=nodes, **over)
+    def __init__(self, seed: int, nodes: int, **overrides) -> None:
+        self.cluster = SimulatedCluster(seed, nodes=nodes, **overrides)
         self._ids = itertools.count()
 
     def new_id(self) -> str:
         return f"req-new-{next(self._ids)}"
 
     def request(self, method: str, target: str, body: bytes | None = None, node: str = "n0") -> tuple:
-        """Status, JSON, Retry-After and the seconds taken."""
-        answers, asked = [], self.cluster.now
+        """Send a request and return status, JSON body, Retry-After and the seconds until the answer."""
+        answers, sent_at = [], self.cluster.now
 
-        def reply(status: int, data: bytes = b"{}", after: int | None = None) -> None:
-            answers.append((status, json.loads(data), after, self.cluster.now - asked))
+        def reply(status: int, data: bytes = b"{}", retry_after: int | None = None) -> None:
+            answers.append((status, json.loads(data), retry_after, self.cluster.now - sent_at))
 
         self.cluster.controllers[node].on_request(make_request(method, target, body), reply)
-        while not answers and self.cluster.now < asked + 5.0:
+        while not answers and self.cluster.now < sent_at + 5.0:
             self.cluster.run(0.01)
         assert len(answers) == 1
         return answers[0]
@@ -71,29 +71,29 @@
 
 
 def delay_job_watches(cluster: SimulatedCluster) -> None:
-    """Nodes hear of changes of jobs half a minute late, once the watches that are open have ended; reads are prompt."""
-    whole = cluster.state.handle
+    """Delay the answers to watches of job records by 30 s, except for reads that a user waits for."""
+    handle = cluster.state.handle
 
-    def late(node, method, target, body, answer):
+    def handle_late(node, method, target, body, answer):
         if target.startswith("/watch?starts=job/") and not is_job_read(target):
-            whole(
+            handle(
                 node, method, target, body, lambda status, data: cluster.call_later(30.0, lambda: answer(status, data))
             )
         else:
-            whole(node, method, target, body, answer)
+            handle(node, method, target, body, answer)
 
-    cluster.state.handle = late
+    cluster.state.handle = handle_late
     cluster.run(30.0)
 
 
 def bodies_with_job_id(job: str) -> list[bytes]:
-    """Bodies from which an id can be read, and little else that is right."""
-    whole = {"name_id": f'"{job}"'} | SUBMISSION_FIELDS
+    """Return bodies that hold a readable job id and are otherwise incomplete or invalid, except for the last one."""
+    complete = {"name_id": f'"{job}"'} | SUBMISSION_FIELDS
     return [
         submission_body({"name_id": f'"{job}"'}),
         submission_body({"colour": "[[]]", "name_id": f'"{job}"', "plays": "{}"}),
         *(
-            submission_body(whole | change)
+            submission_body(complete | change)
             for change in (
                 {"plays": "0"},
                 {"plays": "1e400"},
@@ -113,7 +113,7 @@
 
 
 def assert_submission_status(client: ApiClient, job: str, got: int, answer: dict, status: int) -> None:
-    """A submission got the status that it should: accepted, it can be cancelled; refused, it is not known."""
+    """Assert the status of a submission, and that an accepted job can be cancelled and a refused one is unknown."""
     assert got == status, answer
     if status == 201:
         assert answer == {"name_id": job, "status": "pending", "done": 0, "running": 0}
--- a/tests/combined_faults.py
+++ b/tests/combined_faults.py
@@ -1,4 +1,4 @@
-"""Steps of tests that combine two faults: a busy cluster, cancellations, recovery."""
+"""Common steps of tests that combine two faults: a busy cluster, cancellations, recovery."""
 
 from __future__ import annotations
 
@@ -11,9 +11,9 @@
 SEEDS = [1, 2]
 
 
-def busy_cluster(seed: int, expected_s: float = 5.0, jobs: int = 14, plays: int = 5, **over) -> SimulatedCluster:
-    """Jobs of all teams run, and more come for a while."""
-    cluster = SimulatedCluster(seed, **({"cpu_limit": 48.0} | over))
+def busy_cluster(seed: int, expected_s: float = 5.0, jobs: int = 14, plays: int = 5, **overrides) -> SimulatedCluster:
+    """Return a cluster that runs jobs of all teams and gets more of them for a while."""
+    cluster = SimulatedCluster(seed, **({"cpu_limit": 48.0} | overrides))
     for i in range(jobs):
         cluster.call_later(
             3.0 * i, lambda i=i: cluster.submit(plays=plays, expected_s=expected_s, crew=f"team-{i % 3}", **UNIFORM_JOB)
@@ -28,7 +28,7 @@
 
 
 def cancel_some_jobs(cluster: SimulatedCluster, share: float = 0.5, within_s: float = 0.0) -> list[str]:
-    """Call off jobs with tasks on machines."""
+    """Cancel a share of the jobs that have running tasks, at least one; return their ids."""
     running = sorted({task.rpartition("/")[0] for m in busy_machines(cluster) for task, _ in m.started_tasks()})
     some = [job for job in running if cluster.rng.random() < share] or running[:1]
     for job in some:
@@ -37,15 +37,16 @@
     return some
 
 
-def cancel_some_repeatedly(cluster: SimulatedCluster, times: int, every_s: float) -> None:
-    """Cancel a fifth of the jobs with tasks on machines again and again, from now on."""
+def cancel_some_repeatedly(cluster: SimulatedCluster, times: int, interval_s: float) -> None:
+    """Cancel a fifth of the jobs that have running tasks, repeatedly from now on."""
     for i in range(times):
         cluster.call_later(
-            every_s * i, lambda: cancel_some_jobs(cluster, share=0.2) if busy_machines(cluster) else None
+            interval_s * i, lambda: cancel_some_jobs(cluster, share=0.2) if busy_machines(cluster) else None
         )
 
 
 def recover(cluster: SimulatedCluster, seconds: float = 130.0) -> SimulatedCluster:
+    """End all faults and run until every job has finished; return the cluster."""
     end_all_faults(cluster)
     run_until_finished(cluster, seconds)
     assert cluster.unfinished_jobs() == []
@@ -53,7 +54,7 @@
 
 
 def new_owners(cluster: SimulatedCluster, kind: str, since: float) -> list[str]:
-    """Who has become owner of such keys since."""
+    """Return the nodes that have become owners of such keys since then, in order."""
     return [
         node
         for when, key, node in cluster.network.ownership_changes
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,7 +1,8 @@
-"""Tests known to fail for a fault that is not mended yet: `KNOWN-RED.txt` at the root names them, three at most.
+"""Support for tests that are known to fail because of a fault that is not fixed yet.
 
-They are passed over and printed; one that passes fails the run, and so does a name that no test bears. A line is
-`test, cause, issue`, the test by its node id.
+`KNOWN-RED.txt` at the root lists at most three of them, one a line, as `test, cause, issue`; the test is given by its
+node id. They are expected to fail and are printed at the end of the run. The run fails when one of them passes, or when
+an entry names no test.
 """
 
 from __future__ import annotations
@@ -15,13 +16,13 @@
 
 
 def known_red(text: str) -> dict[str, str]:
-    """Node ids with causes and issues; raises UsageError when the list is not one."""
+    """Return the cause and issue of each listed node id; raise UsageError for an invalid list."""
     found = {}
     for line in filter(None, map(str.strip, text.splitlines())):
-        test, _, why = line.partition(", ")
-        if not why.rpartition(", ")[0]:
+        test, _, reason = line.partition(", ")
+        if not reason.rpartition(", ")[0]:
             raise pytest.UsageError(f"{KNOWN_RED_FILE}: not `test, cause, issue`: {line}")
-        found[test] = why
+        found[test] = reason
     if len(found) > MAX_KNOWN_RED:
         raise pytest.UsageError(f"{KNOWN_RED_FILE}: {len(found)} tests, at most {MAX_KNOWN_RED} may be known to fail")
     return found
@@ -39,12 +40,12 @@
             item.add_marker(pytest.mark.xfail(reason=listed[item.nodeid], strict=True))
     files = {str(item.path.relative_to(config.rootpath)) for item in items}
     unknown = [test for test in listed if test.split("::")[0] in files and test not in {i.nodeid for i in items}]
-    whole = not config.args or [Path(arg).name for arg in config.args] == ["tests"]
-    unknown += [test for test in listed if whole and test.split("::")[0] not in files]
+    is_whole_suite = not config.args or [Path(arg).name for arg in config.args] == ["tests"]
+    unknown += [test for test in listed if is_whole_suite and test.split("::")[0] not in files]
     if unknown and not any("::" in arg for arg in config.args):
         raise pytest.UsageError(f"{KNOWN_RED_FILE}: no such test: {', '.join(unknown)}")
 
 
 def pytest_terminal_summary(terminalreporter: pytest.TerminalReporter, config: pytest.Config) -> None:
-    for test, why in _read(config).items():
-        terminalreporter.write_line(f"known red: {test}: {why}")
+    for test, reason in _read(config).items():
+        terminalreporter.write_line(f"known red: {test}: {reason}")
--- a/tests/dependency_graphs.py
+++ b/tests/dependency_graphs.py
@@ -1,4 +1,4 @@
-"""DAG dependencies: the rules `too_early` and `orphaned`, and random pipelines of jobs."""
+"""DAG dependencies between jobs: the rules `too_early` and `orphaned`, and random pipelines."""
 
 from __future__ import annotations
 
@@ -7,21 +7,21 @@
 from tests.simulation.errors import RuleViolationError
 from tests.user_requests import UNCONSTRAINED_JOB
 
-STEP_S = 0.25  # so often the user of a pipeline looks whether the next job may be submitted
+CHECK_INTERVAL_S = 0.25  # interval at which the user of a pipeline checks whether the next job may be submitted
 
 
 # -- rules
 
 
 def ancestors(cluster: Any, job: Any) -> list[str]:
-    """All jobs that a job needs, directly or through others."""
+    """Return the ids of a job's direct and transitive dependencies."""
     found: dict[str, None] = {}
-    left = job.dependencies()
-    while left:
-        name = left.pop()
+    pending = job.dependencies()
+    while pending:
+        name = pending.pop()
         if name not in found:
             found[name] = None
-            left.extend(cluster.jobs[name].dependencies())
+            pending.extend(cluster.jobs[name].dependencies())
     return list(found)
 
 
@@ -31,18 +31,18 @@
 
 
 def is_blocked(cluster: Any, job: Any) -> bool:
-    """Whether a job that it needs is not done by its record."""
+    """Check whether a direct dependency of a job is not done on record."""
     return any(recorded_status(cluster, name) != "done" for name in job.dependencies())
 
 
 def ancestor_cancelled_at(cluster: Any, job: Any) -> float | None:
-    """When it was first told that a job before this one is cancelled, or this one accepted, if that came later."""
-    told = [at for name in ancestors(cluster, job) if (at := cluster.jobs[name].cancelled_at) is not None]
-    return max(min(told), job.accepted_at) if told else None
+    """Return when the first cancellation of an ancestor was confirmed, or the job accepted if that came later."""
+    times = [at for name in ancestors(cluster, job) if (at := cluster.jobs[name].cancelled_at) is not None]
+    return max(min(times), job.accepted_at) if times else None
 
 
 def is_orphaned(cluster: Any, job: Any) -> bool:
-    """Whether it must be over by now for a job before it."""
+    """Check whether a job must have ended by now because one of its ancestors is cancelled."""
     if not job.dependencies():
         return False
     since = ancestor_cancelled_at(cluster, job)
@@ -50,39 +50,41 @@
 
 
 def check_start(cluster: Any, task: str, job: Any) -> None:
-    """A task starts: all that its job needs is done, and known to be."""
+    """Check that all dependencies of a job are done, also on record, when one of its tasks starts."""
     for name in job.dependencies():
         if any(other not in cluster.finished_tasks for other in cluster.jobs[name].task_ids()):
-            raise RuleViolationError(f"too_early: {task} starts before {name} is done")
+            raise RuleViolationError(f"too_early: {task} starts before its dependency {name} is done")
         status = recorded_status(cluster, name)
         if status != "done":
-            raise RuleViolationError(f"too_early: {task} starts while {name} is {status} on record")
+            raise RuleViolationError(f"too_early: {task} starts while its dependency {name} is {status} on record")
     if job.dependencies() and job.started_at is None:
         cluster.event_counts["dependent job started"] += 1
 
 
 def check_answer(cluster: Any, job: Any, status: str) -> None:
-    """A user is told of a job."""
+    """Check a status that a user got against the dependencies of the job."""
     job_id = job.spec["name_id"]
     if status in ("pending", "running"):
         if is_orphaned(cluster, job):
-            raise RuleViolationError(f"orphaned: {job_id} is called {status}")
+            raise RuleViolationError(f"orphaned: status of {job_id} is {status} after the cancellation of a dependency")
         if status == "running" and job.dependencies() and is_blocked(cluster, job):
-            raise RuleViolationError(f"too_early: {job_id} is called running while a job that it needs is not done")
+            raise RuleViolationError(f"too_early: status of {job_id} is running while a dependency is not done")
     elif status == "cancelled" and not job.cancel_requested:
-        before = [name for name in ancestors(cluster, job) if cluster.jobs[name].cancel_requested]
-        if not before:
-            raise RuleViolationError(f"went_back: {job_id} cancelled by nobody")
-        if all(recorded_status(cluster, name) != "cancelled" for name in before):
-            raise RuleViolationError(f"went_back: {job_id} is called cancelled, but none of {before} is")
+        cancelled = [name for name in ancestors(cluster, job) if cluster.jobs[name].cancel_requested]
+        if not cancelled:
+            raise RuleViolationError(f"went_back: {job_id} is cancelled, but nobody cancelled it or a dependency")
+        if all(recorded_status(cluster, name) != "cancelled" for name in cancelled):
+            raise RuleViolationError(
+                f"went_back: status of {job_id} is cancelled, but none of {cancelled} is cancelled on record"
+            )
         cluster.event_counts["cancelled with a dependency"] += job.final_status is None
 
 
-# -- pipelines drawn at random
+# -- random pipelines
 
 
 def chain(length: int) -> list[list[int]]:
-    """For each job the positions of those that it needs."""
+    """Return the positions of each job's dependencies, as do the other shapes."""
     return [[i - 1] if i else [] for i in range(length)]
 
 
@@ -99,71 +101,72 @@
 
 
 class Pipeline:
-    """A user who submits the jobs of a pipeline one after another, each once those that it needs are accepted."""
+    """A user who submits the jobs of a pipeline one after another, each once its dependencies are accepted."""
 
     def __init__(
         self,
         cluster: Any,
         shape: list[list[int]],
         *,
-        late_last: bool = False,
+        submit_last_late: bool = False,
         cancel_at: str | None = None,
-        outside: float = 0.0,
+        outside_share: float = 0.0,
         undisturbed: bool = True,
-        **over: Any,
+        **overrides: Any,
     ) -> None:
-        self.cluster, self.shape, self.late_last = cluster, shape, late_last
-        self.cancel_at = cancel_at  # "middle", "end", "submission": what the cancellation of one of its jobs meets
-        self.outside = outside  # chance that a job names others beside those of the pipeline
-        self.undisturbed, self.over = undisturbed, over
+        # A late last job is submitted once all others have ended.
+        self.cluster, self.shape, self.submit_last_late = cluster, shape, submit_last_late
+        self.cancel_at = cancel_at  # "middle", "end", "submission": the moment at which one of its jobs is cancelled
+        self.outside_share = outside_share  # share of jobs that also depend on jobs outside the pipeline
+        self.undisturbed, self.overrides = undisturbed, overrides
         self.ids: list[str] = []
-        self.victim = cluster.rng.randrange(len(shape) - 1) if len(shape) > 1 else 0
+        self.cancelled_position = cluster.rng.randrange(len(shape) - 1) if len(shape) > 1 else 0
         cluster.event_counts["pipeline"] += 1
         self._step()
 
     def _step(self) -> None:
         cluster = self.cluster
-        if self._ready():
+        if self._is_next_ready():
             self._submit()
         if len(self.ids) < len(self.shape):
-            cluster.call_later(STEP_S, self._step)
+            cluster.call_later(CHECK_INTERVAL_S, self._step)
 
-    def _ready(self) -> bool:
-        """Whether the next job may be submitted."""
+    def _is_next_ready(self) -> bool:
+        """Check whether the next job may be submitted."""
         position = len(self.ids)
-        needed = [self.cluster.jobs[self.ids[i]] for i in self.shape[position]]
-        if self.late_last and position == len(self.shape) - 1:
-            before = [self.cluster.jobs[job_id] for job_id in self.ids]
-            if any(job.final_status is None for job in before):
+        dependencies = [self.cluster.jobs[self.ids[i]] for i in self.shape[position]]
+        if self.submit_last_late and position == len(self.shape) - 1:
+            others = [self.cluster.jobs[job_id] for job_id in self.ids]
+            if any(job.final_status is None for job in others):
                 return False
             self.cluster.event_counts["last job of a pipeline submitted after the others ended"] += 1
-        return all(job.accepted for job in needed)
+        return all(job.accepted for job in dependencies)
 
     def _submit(self) -> None:
         cluster, rng, position = self.cluster, self.cluster.rng, len(self.ids)
-        names = [self.ids[i] for i in self.shape[position]]
-        if rng.random() < self.outside:
-            names += self._others()
-        over = {"vcpus": 1.0, "memory_gb": 1.0, "expected_s": rng.uniform(0.5, 4.0), "plays": rng.randint(1, 3)}
+        dependencies = [self.ids[i] for i in self.shape[position]]
+        if rng.random() < self.outside_share:
+            dependencies += self._outside_jobs()
+        fields = {"vcpus": 1.0, "memory_gb": 1.0, "expected_s": rng.uniform(0.5, 4.0), "plays": rng.randint(1, 3)}
         if self.undisturbed:
-            over |= UNCONSTRAINED_JOB
+            fields |= UNCONSTRAINED_JOB
         if position == len(self.shape) - 1:
-            over |= {"due_s": rng.uniform(20.0, 200.0), "urgency": rng.choice(["urgent", "standard"])}
-        job_id = cluster.submit(**over | self.over, waits_on=names)
+            fields |= {"due_s": rng.uniform(20.0, 200.0), "urgency": rng.choice(["urgent", "standard"])}
+        job_id = cluster.submit(**fields | self.overrides, waits_on=dependencies)
         self.ids.append(job_id)
-        if self.cancel_at == "middle" and position == self.victim:
+        if self.cancel_at == "middle" and position == self.cancelled_position:
             cluster.call_later(rng.uniform(0.0, 25.0), lambda: self._cancel(job_id))
-        elif self.cancel_at == "end" and position == self.victim:
-            cluster.call_later(STEP_S, lambda: self._race_completion(job_id))
-        elif self.cancel_at == "submission" and names and not self._is_cancelled():
-            victim = names[0]
-            cluster.call_later(rng.uniform(0.0, 0.05), lambda: self._cancel(victim))
-
-    def _others(self) -> list[str]:
-        """Jobs of anybody, in whatever state."""
+        elif self.cancel_at == "end" and position == self.cancelled_position:
+            cluster.call_later(CHECK_INTERVAL_S, lambda: self._race_completion(job_id))
+        elif self.cancel_at == "submission" and dependencies and not self._is_cancelled():
+            dependency = dependencies[0]
+            cluster.call_later(rng.uniform(0.0, 0.05), lambda: self._cancel(dependency))
+
+    def _outside_jobs(self) -> list[str]:
+        """Return up to three random accepted jobs outside the pipeline, in any state."""
         cluster = self.cluster
-        known = sorted(job_id for job_id, job in cluster.jobs.items() if job.accepted and job_id not in self.ids)
-        chosen = cluster.rng.sample(known, min(len(known), cluster.rng.randint(1, 3)))
+        accepted = sorted(job_id for job_id, job in cluster.jobs.items() if job.accepted and job_id not in self.ids)
+        chosen = cluster.rng.sample(accepted, min(len(accepted), cluster.rng.randint(1, 3)))
         for job_id in chosen:
             cluster.event_counts[f"dependency on a job that is {cluster.jobs[job_id].final_status or 'active'}"] += 1
         return chosen
@@ -183,23 +186,24 @@
         job = cluster.jobs[job_id]
         if job.final_status is not None or job.cancel_requested:
             return
-        left = [name for name in job.task_ids() if name not in cluster.finished_tasks]
-        ends = [
+        unfinished = [name for name in job.task_ids() if name not in cluster.finished_tasks]
+        remaining_s = [
             task.get("ends_at", float("inf")) - cluster.now
             for machine in cluster.cloud.machines.values()
             for key, task in machine.tasks.items()
-            if key[0] in left and task["status"] == "running"
+            if key[0] in unfinished and task["status"] == "running"
         ]
-        if not left or len(left) == 1 and ends and min(ends) < 2 * STEP_S:
+        if not unfinished or len(unfinished) == 1 and remaining_s and min(remaining_s) < 2 * CHECK_INTERVAL_S:
             cluster.call_later(
-                (min(ends) if left else 0.0) + cluster.rng.uniform(-0.2, 0.2), lambda: self._cancel(job_id)
+                (min(remaining_s) if unfinished else 0.0) + cluster.rng.uniform(-0.2, 0.2),
+                lambda: self._cancel(job_id),
             )
         else:
-            cluster.call_later(STEP_S, lambda: self._race_completion(job_id))
+            cluster.call_later(CHECK_INTERVAL_S, lambda: self._race_completion(job_id))
 
 
 def submit_random_pipeline(cluster: Any) -> Pipeline:
-    """A pipeline of any shape, about a sixth of them cancelled somewhere."""
+    """Submit a pipeline of a random shape; in about a sixth of the cases one of its jobs is cancelled."""
     rng = cluster.rng
     shape = rng.choice(
         [
@@ -211,5 +215,10 @@
     )()
     cancel_at = rng.choice(["middle", "end", "submission"]) if rng.random() < 0.17 else None
     return Pipeline(
-        cluster, shape, late_last=rng.random() < 0.2, cancel_at=cancel_at, outside=0.25, undisturbed=rng.random() < 0.8
+        cluster,
+        shape,
+        submit_last_late=rng.random() < 0.2,
+        cancel_at=cancel_at,
+        outside_share=0.25,
+        undisturbed=rng.random() < 0.8,
     )
--- a/tests/fault_coverage.py
+++ b/tests/fault_coverage.py
@@ -1,4 +1,4 @@
-"""Whether the faults that seeded runs are made for really occurred, and whether a disabled guard is noticed."""
+"""Checks that seeded runs had the faults that they are meant to have, and that they detect a disabled guard."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class FaultCoverage:
-    """Counts the events of seeded runs, each of which must have occurred in some run."""
+    """Counts of the events of seeded runs; each required event must occur in at least one run."""
 
     def __init__(self, required: Iterable[str], events_of_run: Callable[[int], Counter[str]]) -> None:
         self._required = tuple(required)
@@ -19,15 +19,15 @@
         self.event_counts: Counter[str] = Counter()
 
     def record(self, event_counts: Counter[str]) -> None:
-        """Add the events of a run."""
+        """Add the event counts of one run."""
         self.event_counts.update(event_counts)
 
     def missing(self) -> list[str]:
-        """Required events that no run has had so far."""
+        """Return the required events that no run has had so far."""
         return [name for name in self._required if not self.event_counts[name]]
 
     def assert_complete(self, seeds: Iterable[int]) -> None:
-        """Every required event occurred; runs of these seeds are added while one is missing."""
+        """Assert that every required event occurred; run further seeds as long as one is missing."""
         for seed in seeds:
             if not self.missing():
                 return
@@ -38,13 +38,13 @@
 def assert_violation_found(
     run: Callable[[int], object], seeds: Iterable[int], rule: str, *, tolerate_assertions: bool = False
 ) -> None:
-    """Fails unless one of the runs violates that rule.
+    """Fail unless the run of at least one seed violates the rule.
 
-    With `tolerate_assertions`, what a run asserts of itself, or jobs that never end, do not count for anything.
+    With `tolerate_assertions`, other failed assertions of a run, such as jobs that never finish, are ignored.
     """
-    count = 0
+    run_count = 0
     for seed in seeds:
-        count += 1
+        run_count += 1
         try:
             run(seed)
         except RuleViolationError as violation:
@@ -53,4 +53,4 @@
         except AssertionError:
             if not tolerate_assertions:
                 raise
-    pytest.fail(f"no violation of {rule or 'any rule'} in {count} runs")
+    pytest.fail(f"no violation of {rule or 'any rule'} in {run_count} runs")
--- a/tests/mixed_versions.py
+++ b/tests/mixed_versions.py
@@ -1,4 +1,4 @@
-"""Clusters in which the version in production and the present one run side by side."""
+"""Clusters in which the production version and the current one run side by side."""
 
 from __future__ import annotations
 
@@ -13,24 +13,25 @@
 
 
 def assignment_records(cluster: SimulatedCluster, job_id: str) -> dict[str, dict]:
+    """Return the chunks of a job's assignment record by their keys."""
     prefix = f"live/{cluster.jobs[job_id].spec['crew']}/{job_id}"
     return {key: row[0] for key, row in cluster.state.rows.items() if key == prefix or key.startswith(prefix + "/")}
 
 
-def assignment_counts(rows: dict[str, dict]) -> Counter[int]:
-    """How often each task is assigned by the chunks of a record."""
-    found: Counter[int] = Counter()
-    for value in rows.values():
-        for machines in value["m"].values():
+def assignment_counts(chunks: dict[str, dict]) -> Counter[int]:
+    """Return how often the chunks of an assignment record assign each task."""
+    counts: Counter[int] = Counter()
+    for chunk in chunks.values():
+        for machines in chunk["m"].values():
             for runs in machines.values():
                 for index, _attempt, count in runs:
-                    found.update(range(index, index + count))
-    return found
+                    counts.update(range(index, index + count))
+    return counts
 
 
-def run_wide_job(seed: int, old: tuple[str, ...], **over) -> tuple[SimulatedCluster, str]:
-    """A job on so many machines that its record is larger than the coming limits, or has several chunks."""
-    cluster = SimulatedCluster(seed, cpu_limit=2500.0, write_rps=40.0, production_nodes=old, **over)
+def run_wide_job(seed: int, production_nodes: tuple[str, ...], **overrides) -> tuple[SimulatedCluster, str]:
+    """Run a job on so many machines that its record exceeds the coming limits or has several chunks."""
+    cluster = SimulatedCluster(seed, cpu_limit=2500.0, write_rps=40.0, production_nodes=production_nodes, **overrides)
     cluster.cloud.capacity_per_pool = 40
     cluster.run(10.0)
     job = cluster.submit(
--- a/tests/simulation/__init__.py
+++ b/tests/simulation/__init__.py
@@ -1,1 +1,1 @@
-"""The parts of a simulated deployment; `tests.simulated_cluster` puts them together."""
+"""Components of a simulated cluster; `tests.simulated_cluster` puts them together."""
--- a/tests/simulation/context.py
+++ b/tests/simulation/context.py
@@ -11,6 +11,6 @@
 
 
 def make_context(effects: Any, settings: Settings | None = None, incarnation: int = 7) -> NodeContext:
-    """A context on `effects` that knows no machine types; without `settings` it is that of the first of three nodes."""
+    """Return a context that knows no machine types; `settings` defaults to those of the first of three nodes."""
     settings = settings or parse_settings("settings.toml", settings_text(0, 3))
     return NodeContext(effects, settings, PolicyValues(load_policy(None), settings, {}), incarnation)
--- a/tests/simulation/effects.py
+++ b/tests/simulation/effects.py
@@ -1,4 +1,4 @@
-"""The effects of a simulated controller process: clocks, timers and connections."""
+"""Clocks, timers and connections of a simulated controller process."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class Timer:
-    """A call at a time; the earliest comes first, those of one time in the order in which they were asked for."""
+    """A scheduled call; timers sort by time, and those of the same time in the order in which they were created."""
 
     __slots__ = ("when", "order", "call")
 
@@ -26,46 +26,46 @@
 
 
 class SimulatedEffects:
-    """`Effects` of one process: void once the process has ended."""
+    """`Effects` of one process; it runs no callback once the process has ended."""
 
     def __init__(self, cluster: SimulatedCluster, name: str, incarnation: int) -> None:
         self.cluster, self.name, self.incarnation = cluster, name, incarnation
         self.rng = random.Random(f"{cluster.seed}/{name}/{incarnation}")
-        self.skew = self.rng.uniform(-0.25, 0.25)
+        self.clock_skew_s = self.rng.uniform(-0.25, 0.25)
         self.clock_rate = 1.0 + self.rng.uniform(0.0, 0.0005)
 
     @property
-    def alive(self) -> bool:
+    def is_alive(self) -> bool:
         return self.cluster.incarnations.get(self.name) == self.incarnation
 
     def now(self) -> float:
         return self.cluster.now * self.clock_rate
 
     def wall(self) -> float:
-        return 1e9 + self.cluster.now + self.skew
+        return 1e9 + self.cluster.now + self.clock_skew_s
 
     def later(self, delay: float, call: Callable) -> Timer:
         return self.cluster.call_later(
             delay / self.clock_rate,
-            lambda: self.cluster.run_when_resumed(self.name, call, timer=True) if self.alive else None,
+            lambda: self.cluster.run_when_resumed(self.name, call, timer=True) if self.is_alive else None,
         )
 
     def _call(self, timeout: float, answer: Callable, send: Callable[[Callable], None]) -> None:
-        """Gives `answer` what comes in time, else (None, b"")."""
-        done = False
+        """Send a request and pass `answer` the response, or (None, b"") when none arrives within the timeout."""
+        is_answered = False
 
-        def once(status: int | None, body: bytes) -> None:
-            nonlocal done
-            if not done and self.alive:
-                done = True
+        def answer_once(status: int | None, body: bytes) -> None:
+            nonlocal is_answered
+            if not is_answered and self.is_alive:
+                is_answered = True
                 answer(status, body)
 
-        def arrived(status: int | None, body: bytes) -> None:
-            if self.alive:
-                self.cluster.run_when_resumed(self.name, lambda: once(status, body))
+        def on_response(status: int | None, body: bytes) -> None:
+            if self.is_alive:
+                self.cluster.run_when_resumed(self.name, lambda: answer_once(status, body))
 
-        self.later(timeout, lambda: once(None, b""))
-        send(arrived)
+        self.later(timeout, lambda: answer_once(None, b""))
+        send(on_response)
 
     def state(self, method, target, body, timeout, answer) -> None:
         net = self.cluster.network
--- a/tests/simulation/errors.py
+++ b/tests/simulation/errors.py
@@ -1,7 +1,7 @@
-"""Errors of the simulation."""
+"""Errors that the simulation raises."""
 
 from __future__ import annotations
 
 
 class RuleViolationError(AssertionError):
-    """A rule of the protocol was violated."""
+    """A violation of a rule of the protocol by a controller."""
--- a/tests/simulation/faults.py
+++ b/tests/simulation/faults.py
@@ -1,4 +1,4 @@
-"""Fault injection: controllers, services, network, machines and users; and the end of all faults."""
+"""Fault injection into controllers, services, network, machines and user requests, and the end of all faults."""
 
 from __future__ import annotations
 
@@ -17,11 +17,11 @@
 
 
 def set_temporarily(
-    cluster: SimulatedCluster, span: float, thing: object, name: str, value: object, after: object
+    cluster: SimulatedCluster, duration: float, target: object, name: str, value: object, value_after: object
 ) -> None:
-    """An attribute has one value for a span, then another."""
-    setattr(thing, name, value)
-    cluster.call_later(span, lambda: setattr(thing, name, after))
+    """Set an attribute to `value` for some time and then to `value_after`."""
+    setattr(target, name, value)
+    cluster.call_later(duration, lambda: setattr(target, name, value_after))
 
 
 def hang_machine(cluster: SimulatedCluster, worker: Worker, seconds: float) -> None:
@@ -29,10 +29,10 @@
 
 
 class _Fault:
-    """A fault that lasts for some span, one of `ALL`."""
+    """A fault of limited duration, started by one of the methods in `ALL`."""
 
-    def __init__(self, cluster: SimulatedCluster, span: float) -> None:
-        self.cluster, self.rng, self.net, self.span = cluster, cluster.rng, cluster.network, span
+    def __init__(self, cluster: SimulatedCluster, duration: float) -> None:
+        self.cluster, self.rng, self.net, self.duration = cluster, cluster.rng, cluster.network, duration
 
     # -- controllers
 
@@ -44,21 +44,21 @@
             self.cluster.crash(name, self.rng.uniform(0.2, 6.0))
 
     def suspend_one(self) -> None:
-        """For less than a lease of the state service, or for longer than a lease of a worker."""
+        """Suspend a controller for less than a lease of the state store, or for longer than a worker's lease."""
         self.cluster.suspend(
-            self.rng.choice(self.cluster.node_names), self.rng.choice([self.rng.uniform(0.5, 3.0), self.span])
+            self.rng.choice(self.cluster.node_names), self.rng.choice([self.rng.uniform(0.5, 3.0), self.duration])
         )
 
     # -- services
 
     def state_down(self) -> None:
         self.cluster.state.set_down(True)
-        self.cluster.call_later(self.span, lambda: self.cluster.state.set_down(False))
+        self.cluster.call_later(self.duration, lambda: self.cluster.state.set_down(False))
 
     def state_refuses_one(self) -> None:
         set_temporarily(
             self.cluster,
-            self.span,
+            self.duration,
             self.cluster.state,
             "refused_nodes",
             {self.rng.choice(self.cluster.node_names)},
@@ -66,33 +66,33 @@
         )
 
     def cloud_down(self) -> None:
-        set_temporarily(self.cluster, self.span, self.cluster.cloud, "down", True, False)
+        set_temporarily(self.cluster, self.duration, self.cluster.cloud, "down", True, False)
 
     # -- network
 
     def cut_from_state(self) -> None:
         self._cut_one(["state"])
-        self.cluster.call_later(self.span, self.net.heal)
+        self.cluster.call_later(self.duration, self.net.heal)
 
     def cut_from_peers(self) -> None:
         self._cut_one(self.cluster.node_names)
-        self.cluster.call_later(self.span, self.net.heal)
+        self.cluster.call_later(self.duration, self.net.heal)
 
     def cut_from_workers(self) -> None:
         self._cut_one([worker.name for worker in machines_up(self.cluster)])
-        self.cluster.call_later(self.span, self.net.heal)
+        self.cluster.call_later(self.duration, self.net.heal)
 
     def cut_from_services_and_peers(self) -> None:
-        """And maybe from the workers of a zone."""
+        """Cut a controller from services and peers, and in half of the cases from the workers of a zone."""
         node = self._cut_one(["state", "cloud", *self.cluster.node_names])
         if self.rng.random() < 0.5:
             for worker in machines_up(self.cluster):
                 if worker.zone == "za":
                     self.net.cut(node, worker.name)
-        self.cluster.call_later(self.span, self.net.heal)
+        self.cluster.call_later(self.duration, self.net.heal)
 
     def _cut_one(self, others: Iterable[str]) -> str:
-        """Cut any one controller from these; its name."""
+        """Cut a random controller from these endpoints; return its name."""
         self.net.hold_cut_packets = self.rng.random() < 0.7
         node = self.rng.choice(self.cluster.node_names)
         for other in others:
@@ -102,24 +102,24 @@
 
     def cut_all_peers(self) -> None:
         self.net.cut_peers()
-        self.cluster.call_later(self.span, self.net.heal)
+        self.cluster.call_later(self.duration, self.net.heal)
 
     def lose_state_requests(self) -> None:
-        set_temporarily(self.cluster, self.span, self.net, "state_loss_share", self.rng.uniform(0.02, 0.15), 0.0)
+        set_temporarily(self.cluster, self.duration, self.net, "state_loss_share", self.rng.uniform(0.02, 0.15), 0.0)
 
     def duplicate_heartbeats(self) -> None:
-        set_temporarily(self.cluster, 2 * self.span, self.net, "duplicate_share", 0.3, 0.0)
+        set_temporarily(self.cluster, 2 * self.duration, self.net, "duplicate_share", 0.3, 0.0)
 
     # -- machines
 
     def hang_one(self) -> None:
-        """For less than a lease, or for longer."""
+        """Make a machine hang for less than a lease, or for longer."""
         if workers := machines_up(self.cluster):
             worker = self.rng.choice(workers)
-            hang_machine(self.cluster, worker, self.rng.choice([self.rng.uniform(1.0, 8.0), self.span]))
+            hang_machine(self.cluster, worker, self.rng.choice([self.rng.uniform(1.0, 8.0), self.duration]))
 
     def lose_a_third(self) -> None:
-        """The cloud takes spot machines, others fail."""
+        """Lose a third of the machines: the cloud reclaims spot machines, the others fail."""
         workers = machines_up(self.cluster)
         for worker in self.rng.sample(workers, max(1, len(workers) // 3)) if workers else ():
             if worker.spot:
@@ -135,36 +135,36 @@
             self.rng.choice(workers).faulty = True
 
     def lose_commands(self) -> None:
-        """For less than a lease, for several, for good."""
+        """Lose the commands to a machine for less than a lease, for several leases, or permanently."""
         if workers := machines_up(self.cluster):
             name = self.rng.choice(workers).name
             self.net.command_blackholes.add(name)
             self.cluster.call_later(
-                self.rng.choice([4.0, self.span, 1e9]), lambda: self.net.command_blackholes.discard(name)
+                self.rng.choice([4.0, self.duration, 1e9]), lambda: self.net.command_blackholes.discard(name)
             )
 
     # -- users
 
     def send_request_bursts(self) -> None:
-        set_temporarily(self.cluster, self.span, self.cluster, "request_burst_share", 0.8, 0.0)
+        set_temporarily(self.cluster, self.duration, self.cluster, "request_burst_share", 0.8, 0.0)
 
     def race_completions(self) -> None:
         self.cluster.racing_requests = ("cancel", "cancel", "query", "resubmit")
-        set_temporarily(self.cluster, self.span, self.cluster, "completion_race_share", 0.5, 0.0)
+        set_temporarily(self.cluster, self.duration, self.cluster, "completion_race_share", 0.5, 0.0)
 
     def cancel_running_jobs(self) -> None:
         count = self.rng.randint(1, 6)
         user_requests.cancel_running_jobs(
-            self.cluster, count, self.rng.choice([0.0, self.rng.uniform(1.0, 8.0), self.span])
+            self.cluster, count, self.rng.choice([0.0, self.rng.uniform(1.0, 8.0), self.duration])
         )
 
     def send_edge_case_requests(self) -> None:
-        user_requests.send_edge_case_requests(self.cluster, 20, self.span)
+        user_requests.send_edge_case_requests(self.cluster, 20, self.duration)
 
     def submit_stream(self) -> None:
-        user_requests.submit_stream(self.cluster, min(self.span, 8.0))
+        user_requests.submit_stream(self.cluster, min(self.duration, 8.0))
 
-    # The order decides what a seed draws.
+    # The order decides which fault a seed draws.
     ALL = (
         crash_one,
         crash_all,
@@ -192,13 +192,13 @@
 
 
 def random_fault(cluster: SimulatedCluster) -> None:
-    """Start one random fault; it ends some time later."""
-    cause = cluster.rng.choice(_Fault.ALL)
-    cause(_Fault(cluster, cluster.rng.uniform(2.0, 25.0)))
+    """Start a random fault, which ends by itself unless it is permanent."""
+    start_fault = cluster.rng.choice(_Fault.ALL)
+    start_fault(_Fault(cluster, cluster.rng.uniform(2.0, 25.0)))
 
 
 def end_faults(cluster: SimulatedCluster) -> None:
-    """End all faults: from now on the cluster has to recover."""
+    """End all faults; from now on the cluster has to recover."""
     cluster.faults_ended_at = cluster.now
     cluster.request_burst_share = cluster.completion_race_share = 0.0
     cluster.network.state_loss_share = 0.0
--- a/tests/simulation/late_heartbeats.py
+++ b/tests/simulation/late_heartbeats.py
@@ -13,7 +13,7 @@
 
 
 class Heartbeat:
-    """A heartbeat, or a copy of one, that is yet to arrive."""
+    """A heartbeat, or a copy of one, that has not arrived yet."""
 
     __slots__ = ("machine", "zone", "node", "body", "fencing_token", "session", "sequence")
 
@@ -25,15 +25,15 @@
 
 
 class LateHeartbeats:
-    """Delays and duplicates heartbeats, as often as the shares of the network say."""
+    """A component of the network that delays and duplicates heartbeats, as often as the network's shares say."""
 
     def __init__(self, network: Network) -> None:
         self.network = network
-        self._next_owner_copies: list[Heartbeat] = []  # copies for the next owner
-        self._held_back: list[Heartbeat] = []  # heartbeats until the next owner has started a task
+        self._next_owner_copies: list[Heartbeat] = []  # copies that the next owner of their partition gets
+        self._held_back: list[Heartbeat] = []  # heartbeats that are held until the next owner has started a task
 
     def duplicate(self, node: str, body: bytes) -> None:
-        """Copies of a heartbeat that arrive again, later."""
+        """Schedule or keep copies of a heartbeat that arrive later."""
         cluster, net = self.network.cluster, self.network
         lease_s = cluster.settings.params.workers.lease_s
         if cluster.rng.random() < net.duplicate_share:
@@ -52,15 +52,15 @@
             self._next_owner_copies.append(Heartbeat(node, body))
 
     def hold_back(self, node: str, body: bytes) -> None:
-        """Keep a heartbeat itself until the next owner has started a task."""
+        """Hold a heartbeat until the next owner of its partition has started a task."""
         self._held_back.append(Heartbeat(node, body))
 
-    def answered(self, node: str, who: str, data: bytes) -> None:
-        """An owner that starts a task has acted: what was held back since before then arrives there now."""
+    def on_heartbeat_answered(self, node: str, machine: str, data: bytes) -> None:
+        """Deliver the heartbeats held back for earlier owners of a partition once its new owner starts a task."""
         if not self._held_back or b'"launch"' not in data:
             return
         cluster, token = self.network.cluster, json.loads(data)["baton"]
-        zone = next((m.zone for m in cluster.cloud.machines.values() if m.name == who), None)
+        zone = next((m.zone for m in cluster.cloud.machines.values() if m.name == machine), None)
         due = [heartbeat for heartbeat in self._held_back if heartbeat.zone == zone and heartbeat.fencing_token < token]
         self._held_back = [heartbeat for heartbeat in self._held_back if heartbeat not in due]
         for heartbeat in due:
@@ -70,7 +70,7 @@
             )
 
     def deliver_to_next_owner(self, zone: str) -> None:
-        """Copies that wait for a partition's next owner arrive at every node as it begins."""
+        """Deliver the copies kept for a partition's next owner, to every node, as that ownership begins."""
         cluster = self.network.cluster
         due = [heartbeat for heartbeat in self._next_owner_copies if heartbeat.zone == zone]
         self._next_owner_copies = [heartbeat for heartbeat in self._next_owner_copies if heartbeat.zone != zone]
@@ -84,7 +84,7 @@
                 )
 
     def _arrive_late(self, heartbeat: Heartbeat, node: str, kind: str) -> None:
-        """Nobody waits for the answer any more."""
+        """Deliver a heartbeat whose sender no longer waits for the answer, and count its circumstances."""
         cluster, event_counts = self.network.cluster, self.network.event_counts
         controller = cluster.controllers.get(node)
         if controller is None:
--- a/tests/simulation/network.py
+++ b/tests/simulation/network.py
@@ -1,4 +1,4 @@
-"""The network: delays, losses, cuts, and packets that arrive late."""
+"""The simulated network: delays, losses, cuts, and packets that arrive late."""
 
 from __future__ import annotations
 
@@ -15,30 +15,32 @@
 
 
 class Network:
-    """Delays, losses, and cuts that hold packets and deliver them late. What really occurred is counted."""
+    """The network of a cluster, with faults that can be switched on; it counts the faults that really occurred."""
 
     def __init__(self, cluster: SimulatedCluster) -> None:
         self.cluster = cluster
-        self.cuts: set[frozenset[str]] = set()
-        self.cut_from_workers: set[str] = set()  # controllers that are cut off from all machines, new ones too
-        self.command_blackholes: set[str] = set()  # machines whose heartbeats arrive, but nothing reaches them
-        self.heartbeat_blackholes: set[str] = set()  # machines that direct commands reach, but that reach no controller
-        self.lost_starts = 0  # start commands that were lost on their way to such machines
-        self.duplicate_share = 0.0  # chance that a copy of a heartbeat arrives late
-        self.held_packets: dict[frozenset[str], list[Callable]] = {}
-        self.hold_cut_packets = True
-        self.max_delay_s = 0.01  # seconds that a packet may take
-        self.state_loss_share = 0.0  # chance that a request to the state service goes wrong
-        self.state_answer_delay_s = 0.0  # seconds by which its answers may be late
-        self.late_write_share = 0.0  # chance that a transaction gets no answer and is carried out 2 to 12 s later
-        self.lost_answer_share = 0.0  # chance that a transaction is carried out at once and its answer lost
-        self.late_heartbeat_share = 0.0  # chance that a copy of a heartbeat arrives 2 s to three leases later, anywhere
-        self.next_owner_copy_share = 0.0  # chance that a copy of a heartbeat is kept for the next owner
-        self.held_heartbeat_share = 0.0  # chance that a heartbeat is kept until the next owner starts a task
-        self.late_command_share = 0.0  # chance that a direct command or its answer is held up
-        self.command_delay_s = (2.0, 12.0)  # for how long
+        self.cuts: set[frozenset[str]] = set()  # pairs of endpoints that do not reach each other
+        self.cut_from_workers: set[str] = set()  # controllers that are cut off from all machines, also later ones
+        self.command_blackholes: set[str] = set()  # machines that nothing reaches, although their heartbeats arrive
+        self.heartbeat_blackholes: set[str] = set()  # machines that reach no controller, although commands reach them
+        self.lost_starts = 0  # start commands that were lost on their way to machines in `command_blackholes`
+        self.duplicate_share = 0.0  # share of heartbeats of which a copy arrives late
+        self.held_packets: dict[frozenset[str], list[Callable]] = {}  # pair -> packets held until the cut ends
+        self.hold_cut_packets = True  # whether cuts hold packets and deliver them in the end, or lose them
+        self.max_delay_s = 0.01  # maximum delay of a packet
+        self.state_loss_share = 0.0  # share of requests to the state store that are lost, late or not answered
+        self.state_answer_delay_s = 0.0  # maximum additional delay of answers of the state store
+        self.late_write_share = 0.0  # share of transactions that get no answer and are applied 2 to 12 s later
+        self.lost_answer_share = 0.0  # share of transactions that are applied at once, but whose answer is lost
+        self.late_heartbeat_share = (
+            0.0  # share of heartbeats of which a copy arrives 2 s to three leases later anywhere
+        )
+        self.next_owner_copy_share = 0.0  # share of heartbeats of which a copy is kept for the next owner
+        self.held_heartbeat_share = 0.0  # share of heartbeats that are held until the next owner starts a task
+        self.late_command_share = 0.0  # share of direct commands of which the request or the answer is delayed
+        self.command_delay_s = (2.0, 12.0)  # range of that delay
         self.event_counts: Counter[str] = Counter()
-        self.ownership_changes: list[tuple[float, str, str]] = []  # when, which key, which node: an ownership began
+        self.ownership_changes: list[tuple[float, str, str]] = []  # time, key and new owner
         self.late_heartbeats = LateHeartbeats(self)
         self.send_to_state = StateLink(self).send
 
@@ -46,22 +48,22 @@
         self.cuts.add(frozenset((a, b)))
 
     def cut_peers(self) -> None:
-        """All connections between controllers are refused."""
+        """Cut all connections between controllers and lose their packets."""
         self.hold_cut_packets = False
-        for one in self.cluster.node_names:
+        for node in self.cluster.node_names:
             for other in self.cluster.node_names:
-                if one != other:
-                    self.cut(one, other)
+                if node != other:
+                    self.cut(node, other)
 
     def cut_node(self, node: str) -> None:
-        """A controller loses the state service and its peers, not its workers or users."""
+        """Cut a controller from the state store and its peers, but not from workers and users."""
         self.cut(node, "state")
         for other in self.cluster.node_names:
             if other != node:
                 self.cut(node, other)
 
     def cut_zone(self, zone: str, node: str) -> None:
-        """A zone with its machines and one controller in it is cut off from all else."""
+        """Cut the machines of a zone, together with one controller, from everything else."""
         self.cut_node(node)
         self.cut(node, "cloud")
         self.cut(node, "users")
@@ -71,6 +73,7 @@
                     self.cut(machine.name, other)
 
     def heal(self) -> None:
+        """End all cuts and deliver the packets that they held."""
         self.cuts.clear()
         self.cut_from_workers.clear()
         held, self.held_packets = self.held_packets, {}
@@ -91,28 +94,29 @@
         )
 
     def chance(self, share: float) -> bool:
-        """Draws only while the fault lasts, so that seeded runs without it stay the same."""
+        """Return True with this probability; draw only while the share is positive, which keeps other runs the same."""
         return share > 0.0 and self.cluster.rng.random() < share
 
-    def deliver(self, a: str, b: str, call: Callable) -> None:
-        if b in self.command_blackholes:
+    def deliver(self, sender: str, receiver: str, call: Callable) -> None:
+        """Run `call` as the arrival of a packet, unless a fault holds or loses the packet."""
+        if receiver in self.command_blackholes:
             return
-        pair = frozenset((a, b))
-        if pair in self.cuts or self._cut_from_workers(a, b):
+        pair = frozenset((sender, receiver))
+        if pair in self.cuts or self._is_cut_from_workers(sender, receiver):
             self.event_counts["packet cut off"] += 1
             if self.hold_cut_packets:
                 self.held_packets.setdefault(pair, []).append(call)
             return
         self.cluster.call_later(self.cluster.rng.uniform(0.0005, self.max_delay_s), call)
 
-    def _cut_from_workers(self, a: str, b: str) -> bool:
+    def _is_cut_from_workers(self, a: str, b: str) -> bool:
         machines = self.cluster.cloud.machines
         return a in self.cut_from_workers and b in machines or b in self.cut_from_workers and a in machines
 
     # -- services
 
-    def on_change(self, key: str, value: Any, _epoch: int) -> None:
-        """The state service wrote a key; a change of owner is recorded and triggers what waits for it."""
+    def on_change(self, key: str, value: Any, _revision: int) -> None:
+        """Record a change of owner that the state store has stored, and deliver the heartbeats kept for it."""
         if not key.startswith("own/") or key.startswith("own/node/"):
             return
         self.ownership_changes.append((self.cluster.now, key, value["n"]))
@@ -135,37 +139,42 @@
 
     # -- controllers and workers
 
-    def send_to_node(self, who: str, node: str, method: str, target: str, body: bytes | None, answer: Callable) -> None:
+    def send_to_node(
+        self, sender: str, node: str, method: str, target: str, body: bytes | None, answer: Callable
+    ) -> None:
+        """Send a request of a machine or of the users to a controller."""
         cluster = self.cluster
-        if who in self.heartbeat_blackholes:
+        if sender in self.heartbeat_blackholes:
             self.event_counts["heartbeat lost"] += 1
-            if cluster.rng.random() < 0.5:  # refused, else it waits in vain
+            if cluster.rng.random() < 0.5:  # connection refused; otherwise the sender waits until its timeout
                 cluster.call_later(0.01, lambda: answer(None, b""))
             return
-        is_report = target == "/v1/report"
-        if is_report and self.chance(self.held_heartbeat_share):
+        is_heartbeat = target == "/v1/report"
+        if is_heartbeat and self.chance(self.held_heartbeat_share):
             self.late_heartbeats.hold_back(node, body)
             return
-        self.deliver(who, node, lambda: self._arrive(who, node, method, target, body, answer))
-        if is_report:
+        self.deliver(sender, node, lambda: self._arrive_at_node(sender, node, method, target, body, answer))
+        if is_heartbeat:
             self.late_heartbeats.duplicate(node, body)
 
-    def _arrive(self, who: str, node: str, method: str, target: str, body: bytes | None, answer: Callable) -> None:
-        """A request is at a controller, or where it ran."""
+    def _arrive_at_node(
+        self, sender: str, node: str, method: str, target: str, body: bytes | None, answer: Callable
+    ) -> None:
+        """Pass a request to a controller; the connection is refused when its process is down."""
         cluster = self.cluster
         controller = cluster.controllers.get(node)
         if controller is None:
             cluster.call_later(0.01, lambda: answer(None, b""))
             return
-        life = cluster.incarnations[node]
+        incarnation = cluster.incarnations[node]
 
         def reply(status: int, data: bytes = b"{}", _retry_after: int | None = None) -> None:
-            if who in self.command_blackholes:
+            if sender in self.command_blackholes:
                 self.lost_starts += data.count(b'"launch"')
             if target == "/v1/report":
-                self.late_heartbeats.answered(node, who, data)
-            if cluster.incarnations.get(node) == life:
-                self.deliver(node, who, lambda: answer(status, data))
+                self.late_heartbeats.on_heartbeat_answered(node, sender, data)
+            if cluster.incarnations.get(node) == incarnation:
+                self.deliver(node, sender, lambda: answer(status, data))
 
         request = make_request(method, target, body, cluster.running_versions[node])
         cluster.run_when_resumed(node, lambda: controller.on_request(request, reply))
@@ -177,34 +186,34 @@
         worker = next((w for w in cluster.cloud.machines.values() if w.addr == addr), None)
         if worker is None:
             return
-        late = self.chance(self.late_command_share)
-        wait = cluster.rng.uniform(*self.command_delay_s) if late else 0.0
-        on_the_way = late and cluster.rng.random() < 0.6
-        sent = cluster.now
+        is_late = self.chance(self.late_command_share)
+        delay_s = cluster.rng.uniform(*self.command_delay_s) if is_late else 0.0
+        is_request_late = is_late and cluster.rng.random() < 0.6
+        sent_at = cluster.now
 
-        def back(status: int, data: bytes) -> None:
-            if method == "POST" and cluster.now - sent > 2.0:
+        def on_answer(status: int, data: bytes) -> None:
+            if method == "POST" and cluster.now - sent_at > 2.0:
                 self.event_counts["late command"] += 1
                 self.event_counts[f"late command: {status}"] += 1
             if worker.name in self.heartbeat_blackholes:
                 self.event_counts["command reached a machine without heartbeats"] += 1
-            if late and not on_the_way:
+            if is_late and not is_request_late:
                 self.event_counts["late answer to a command"] += 1
-                cluster.call_later(wait, lambda: self.deliver(worker.name, node, lambda: answer(status, data)))
+                cluster.call_later(delay_s, lambda: self.deliver(worker.name, node, lambda: answer(status, data)))
             else:
                 self.deliver(worker.name, node, lambda: answer(status, data))
 
         def arrive() -> None:
             if worker.name in cluster.cloud.machines:
-                worker.handle_request(method, target, body, back)
+                worker.handle_request(method, target, body, on_answer)
 
-        def leave() -> None:
+        def send() -> None:
             self.deliver(node, worker.name, arrive)
 
-        if on_the_way:
-            cluster.call_later(wait, leave)
+        if is_request_late:
+            cluster.call_later(delay_s, send)
         else:
-            leave()
+            send()
 
     def send_mesh_frame(self, sender: str, peer: str, frame: bytes) -> None:
         def arrive() -> None:
--- a/tests/simulation/observer.py
+++ b/tests/simulation/observer.py
@@ -1,4 +1,4 @@
-"""A stand-in for the controller around a partition."""
+"""A stand-in for the controller that observes a partition."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 class StatusUpdateRecorder:
-    """Implements `PartitionObserver`: keeps the status updates that a partition publishes, and nothing else."""
+    """A `PartitionObserver` that records status updates and ignores everything else."""
 
     def __init__(self, updates: list[mesh.StatusUpdate]) -> None:
         self.updates = updates
--- a/tests/simulation/rules.py
+++ b/tests/simulation/rules.py
@@ -1,4 +1,4 @@
-"""The rules of the protocol, checked against what the workers really hold and what users were told."""
+"""The rules of the protocol, checked against the actual state of the workers and the answers that users got."""
 
 from __future__ import annotations
 
@@ -14,31 +14,32 @@
     from tests.simulation.jobs import SimulatedJob
     from tests.standins import Worker
 
-RECOVERY_ANSWER_S = 75.0  # within it some query of each accepted job is answered, once all faults have ended
-ANSWER_TIMEOUT_S = 90.0  # and during faults within this, if most queries of other jobs are
-MAX_WAIT_S = 90.0  # so long at most a job waits beside free capacity, once all faults have ended
+RECOVERY_ANSWER_S = 75.0  # once all faults have ended, a query of each accepted job is answered within this time
+ANSWER_TIMEOUT_S = 90.0  # the same during faults, as long as most queries of other jobs are answered
+MAX_WAIT_S = 90.0  # longest time that a job may wait beside free capacity, once all faults have ended
 
 
 class RuleChecker:
-    """Raises `BrokenRuleError` as soon as a rule is broken."""
+    """A checker that raises `RuleViolationError` as soon as a rule is violated."""
 
     def __init__(self, cluster: SimulatedCluster) -> None:
         self.cluster = cluster
         self._polls: deque[tuple[float, str, bool]] = deque()
+        # Machine, task and attempt -> start of the image fetch, and whether the owner was unaware of the job's end.
         self._fetching: dict[tuple[str, str, int], tuple[float, bool]] = {}
 
     def record_poll(self, job_id: str, answered: bool) -> None:
-        """A poll of a job got its answer, or was given up."""
+        """Record that a poll of a job was answered, or failed or timed out."""
         self._polls.append((self.cluster.now, job_id, answered))
 
     def check_start(self, machine: Worker, key: tuple[str, int]) -> None:
-        """A task starts: it holds its image now."""
+        """Check that a task may start on a machine now that its image is fetched."""
         self.cluster.task_starts += 1
         job_id = key[0].rpartition("/")[0]
         if job_id not in self.cluster.jobs:
-            raise RuleViolationError(f"accepted_wrong: {key} runs")
+            raise RuleViolationError(f"accepted_wrong: {key} runs on {machine.name}, but its job was never submitted")
         job = self.cluster.jobs[job_id]
-        self._check_late(machine, key, job)
+        self._check_late_start(machine, key, job)
         job.progressed_at = self.cluster.now
         dependency_graphs.check_start(self.cluster, key[0], job)
         if job.started_at is None:
@@ -54,60 +55,66 @@
         self._check_placement(machine, key, spec, zones)
 
     def _check_placement(self, machine: Worker, key: tuple[str, int], spec: dict, zones: dict[str, int]) -> None:
-        """A task's machine is one of those that its job asks for; `zones`: how many of the job's tasks are in each."""
+        """Check that a machine meets the placement constraints of a job, given the number of its tasks in each zone."""
         if machine.spot and not spec["loaners"]:
-            raise RuleViolationError(f"wrong_place: {key} on a spot machine")
+            raise RuleViolationError(f"wrong_place: {key} runs on spot machine {machine.name}")
         if spec["rigs"] and machine.machine_type["name"] not in spec["rigs"]:
-            raise RuleViolationError(f"wrong_place: {key} on {machine.machine_type['name']}")
+            raise RuleViolationError(
+                f"wrong_place: {key} runs on machine type {machine.machine_type['name']}, not one of {spec['rigs']}"
+            )
         if spec["yard"] and machine.zone != spec["yard"]:
-            raise RuleViolationError(f"wrong_place: {key} in {machine.zone}")
+            raise RuleViolationError(f"wrong_place: {key} runs in zone {machine.zone}, not in {spec['yard']}")
         if spec["together"] and len(zones) > 1:
-            raise RuleViolationError(f"wrong_place: {key}: together, but in {zones}")
+            raise RuleViolationError(f"wrong_place: {key} must share a zone with its job, whose tasks are in {zones}")
         if spec["spread"] and max(zones.values()) > (spec["plays"] + 1) // 2:
-            raise RuleViolationError(f"wrong_place: {key}: spread, but in {zones}")
+            raise RuleViolationError(
+                f"wrong_place: {key} must be spread over zones, but its job's tasks are in {zones}"
+            )
 
-    def _check_late(self, machine: Worker, key: tuple[str, int], job: SimulatedJob) -> None:
-        """No task may start after a confirmed cancellation, save one whose launch was under way."""
+    def _check_late_start(self, machine: Worker, key: tuple[str, int], job: SimulatedJob) -> None:
+        """Check that no task starts after a confirmed cancellation, unless its start was already in progress."""
         if job.cancelled_at is None or self.cluster.now <= job.cancelled_at:
             return
-        late = self.cluster.now - job.cancelled_at
-        since, unaware = self._fetching.get((machine.name, *key), (self.cluster.now, self._unaware(machine, key)))
-        kind = "pulling" if since <= job.cancelled_at else "owner unaware" if unaware else "in flight"
-        self.cluster.late_starts.append((key[0], machine.name, late, kind))
-        if late > self.cluster.settings.params.workers.cancel_s:
+        late_s = self.cluster.now - job.cancelled_at
+        fetching_since, is_owner_unaware = self._fetching.get(
+            (machine.name, *key), (self.cluster.now, self._is_owner_unaware(machine, key))
+        )
+        kind = "pulling" if fetching_since <= job.cancelled_at else "owner unaware" if is_owner_unaware else "in flight"
+        self.cluster.late_starts.append((key[0], machine.name, late_s, kind))
+        if late_s > self.cluster.settings.params.workers.cancel_s:
             raise RuleViolationError(
-                f"ran_cancelled: {key[0]} starts on {machine.name} {late:.1f} s after its cancellation"
+                f"ran_cancelled: {key[0]} starts on {machine.name} {late_s:.1f} s after its cancellation"
             )
 
-    def _unaware(self, machine: Worker, key: tuple[str, int]) -> bool:
-        """Whether some node that takes itself for the owner of a machine has not seen its task's job end."""
+    def _is_owner_unaware(self, machine: Worker, key: tuple[str, int]) -> bool:
+        """Check whether a node that considers itself the owner of a machine has not seen a task's job end."""
         job_id = key[0].rpartition("/")[0]
         return any(
-            machine.name in partition.machines and job_id in active_jobs(node)
-            for node in self.cluster.controllers.values()
-            for partition in owned_partitions(node).values()
+            machine.name in partition.machines and job_id in active_jobs(controller)
+            for controller in self.cluster.controllers.values()
+            for partition in owned_partitions(controller).values()
         )
 
     def check(self) -> None:
-        """All that holds after each step; what takes long to come about, once a second."""
-        self._note_fetching()
+        """Check the rules that hold after each step, and once a second those with long time limits."""
+        self._record_fetching()
         self._check_running()
         if int(self.cluster.now * 10) % 10 == 0:
             self._check_answered()
             self._check_waiting()
 
-    def _note_fetching(self) -> None:
-        """Since when each task is fetching its image, and whether its machine's owner had not seen its job end."""
+    def _record_fetching(self) -> None:
+        """Record when each task began to fetch its image, and whether its owner was unaware of the job's end then."""
         self._fetching = {
-            at: self._fetching.get(at) or (self.cluster.now, self._unaware(machine, key))
+            attempt: self._fetching.get(attempt) or (self.cluster.now, self._is_owner_unaware(machine, key))
             for machine in self.cluster.cloud.machines.values()
             for key, task in machine.tasks.items()
             if task["status"] == "pulling"
-            for at in [(machine.name, *key)]
+            for attempt in [(machine.name, *key)]
         }
 
     def _check_running(self) -> None:
-        """No task runs on after its job's cancellation, or another's before it; no team exceeds its limit."""
+        """Check that no task outlives the cancellation of its job or of a dependency, and no team exceeds its limit."""
         used: dict[str, float] = {}
         params = self.cluster.settings.params
         for machine in self.cluster.cloud.machines.values():
@@ -115,15 +122,19 @@
                 job = self.cluster.jobs[task.rpartition("/")[0]]
                 used[job.spec["crew"]] = used.get(job.spec["crew"], 0.0) + job.spec["vcpus"]
                 if job.cancelled_at is not None and self.cluster.now > job.cancelled_at + params.workers.cancel_s:
-                    raise RuleViolationError(f"ran_cancelled: {task} on {machine.name}")
+                    raise RuleViolationError(
+                        f"ran_cancelled: {task} still runs on {machine.name}, cancelled at {job.cancelled_at:.1f}"
+                    )
                 if dependency_graphs.is_orphaned(self.cluster, job):
-                    raise RuleViolationError(f"orphaned: {task} on {machine.name}")
+                    raise RuleViolationError(
+                        f"orphaned: {task} still runs on {machine.name} after the cancellation of a dependency"
+                    )
         for team, cpus in used.items():
             if cpus > params.teams[0].cpus_max + 1e-6:
-                raise RuleViolationError(f"quota: {team} uses {cpus}")
+                raise RuleViolationError(f"quota: {team} uses {cpus} CPUs, its limit is {params.teams[0].cpus_max}")
 
     def _check_answered(self) -> None:
-        """Queries of every accepted job are answered, at the latest once all faults have ended."""
+        """Check that queries of every accepted job are answered in time, during faults and after them."""
         while self._polls and self._polls[0][0] < self.cluster.now - ANSWER_TIMEOUT_S:
             self._polls.popleft()
         for job_id, job in self.cluster.jobs.items():
@@ -135,17 +146,19 @@
                 > RECOVERY_ANSWER_S
             ):
                 raise RuleViolationError(
-                    f"forgotten: no question about {job_id} is answered since {job.unanswered_since:.1f}"
+                    f"forgotten: no poll of {job_id} is answered since {job.unanswered_since:.1f}, "
+                    f"all faults ended at {self.cluster.faults_ended_at:.1f}"
                 )
             if self.cluster.now - max(job.unanswered_since, job.accepted_at) > ANSWER_TIMEOUT_S:
-                others = [answered for _, other, answered in self._polls if other != job_id]
-                if sum(others) > len(others) / 2:
+                others_answered = [answered for _, other, answered in self._polls if other != job_id]
+                if sum(others_answered) > len(others_answered) / 2:
                     raise RuleViolationError(
-                        f"forgotten: no poll of {job_id} is answered since {job.unanswered_since:.1f}"
+                        f"forgotten: no poll of {job_id} is answered since {job.unanswered_since:.1f}, "
+                        "although most polls of other jobs are"
                     )
 
     def _check_waiting(self) -> None:
-        """Once all faults have ended, no job starves beside a machine that fits and has free capacity."""
+        """Check that once all faults have ended no job starves while a suitable machine has free capacity."""
         if self.cluster.now < self.cluster.faults_ended_at:
             return
         zones_of: dict[str, dict[str, str]] = {}  # job -> task -> zone
@@ -165,10 +178,10 @@
                 continue
             zones = zones_of.get(job_id, {})
             waiting = [name for name in job.task_ids() if name not in self.cluster.finished_tasks and name not in zones]
-            under = allocated.get(job.spec["crew"], 0.0) + job.spec["vcpus"] <= limit + 1e-6
+            is_within_limit = allocated.get(job.spec["crew"], 0.0) + job.spec["vcpus"] <= limit + 1e-6
             if (
                 not waiting
-                or not under
+                or not is_within_limit
                 or not any(
                     self._has_capacity(machine, job.spec, list(zones.values()))
                     for machine in self.cluster.cloud.machines.values()
@@ -176,10 +189,12 @@
             ):
                 job.progressed_at = self.cluster.now
             elif self.cluster.now - max(job.progressed_at, job.accepted_at, self.cluster.faults_ended_at) > MAX_WAIT_S:
-                raise RuleViolationError(f"left_waiting: {job_id} lacks {waiting} since {job.progressed_at:.1f}")
+                raise RuleViolationError(
+                    f"left_waiting: tasks {waiting} of {job_id} wait beside free capacity since {job.progressed_at:.1f}"
+                )
 
     def _has_capacity(self, machine: Worker, spec: dict, zones: list[str]) -> bool:
-        """Whether a machine in good order could take a task of a job whose others are in these zones."""
+        """Check whether a healthy machine could run one more task of a job whose other tasks are in these zones."""
         net = self.cluster.network
         if not machine.up or machine.dead or machine.hung or machine.faulty or machine.termination_at is not None:
             return False
@@ -195,6 +210,6 @@
             return False
         specs = [self.cluster.jobs[name.rpartition("/")[0]].spec for name, _ in machine.active_tasks()]
         return all(
-            sum(other[what] for other in specs) + spec[what] <= machine.machine_type[what] + 1e-6
-            for what in ("vcpus", "memory_gb")
+            sum(other[resource] for other in specs) + spec[resource] <= machine.machine_type[resource] + 1e-6
+            for resource in ("vcpus", "memory_gb")
         )
--- a/tests/simulation/settings.py
+++ b/tests/simulation/settings.py
@@ -1,12 +1,15 @@
-"""The platform file of a small deployment, and the types of machines that its cloud rents."""
+"""Settings of a simulated cluster and the machine types that its cloud offers."""
 
 from __future__ import annotations
 
 from typing import Any
 
 
-def settings_text(node: int, nodes: int, **over: Any) -> str:
-    """A platform file of a small deployment."""
+def settings_text(node: int, nodes: int, **overrides: Any) -> str:
+    """Return the settings file of one of the nodes of a small deployment.
+
+    Each team has `cpu_guarantee` and `cpu_limit`; `guarantee_objective` adds an objective for teams with a guarantee.
+    """
     values = {
         "report_s": 1.0,
         "lease_s": 9.0,
@@ -17,7 +20,7 @@
         "value_kb": 8.0,
         "guarantee_objective": True,
         "next_limits": {},
-    } | over
+    } | overrides
     known = "".join(
         f'[[known]]\nnode = "n{i}"\ndomain = "za"\nendpoint = "10.0.0.{i + 1}:8081"\n'
         for i in range(nodes)
@@ -29,8 +32,8 @@
     )
     if values["guarantee_objective"] and values["cpu_guarantee"]:
         teams += '[[params.objectives]]\nkind = "guarantee"\nwithin_s = 5.0\nshare = 0.8\n'
-    coming = "[params.state.next]\n" if values["next_limits"] else ""
-    coming += "".join(f"{name} = {value}\n" for name, value in values["next_limits"].items())
+    next_limits = "[params.state.next]\n" if values["next_limits"] else ""
+    next_limits += "".join(f"{name} = {value}\n" for name, value in values["next_limits"].items())
     return f"""
 node = "n{node}"
 domain = "za"
@@ -54,7 +57,7 @@
 write_rps = {values["write_rps"]}
 value_kb = {values["value_kb"]}
 txn_ops = 16
-{coming}
+{next_limits}
 [params.cloud]
 rps = 2.0
 list_lag_s = 4.0
--- a/tests/simulation/state_link.py
+++ b/tests/simulation/state_link.py
@@ -1,4 +1,4 @@
-"""The way to the state service and back: what is lost there, and what is carried out late or unknown to its writer."""
+"""The connection between controllers and the state store: lost requests and answers, and late writes."""
 
 from __future__ import annotations
 
@@ -11,32 +11,35 @@
 
 
 class StateLink:
-    """All nodes' requests to the state service."""
+    """The connection of all nodes to the state store."""
 
     def __init__(self, network: Network) -> None:
         self.network = network
-        self.written: dict[str, int] = {}  # node -> how many of its transactions were sent
-        self.newest: dict[str, int] = {}  # node -> the newest of its transactions that was carried out
-        self.unanswered: dict[tuple[str, int], str] = {}  # changes of which the writer was told nothing
+        self.transactions_sent: dict[str, int] = {}  # node -> number of transactions that it has sent
+        self.newest: dict[str, int] = {}  # node -> number of its newest transaction that was applied
+        # Key and revision of a write whose answer was lost -> the node that wrote it.
+        self.unanswered_writes: dict[tuple[str, int], str] = {}
 
     def send(self, node: str, method: str, target: str, body: bytes | None, answer: Callable) -> None:
         number = 0
         if target == "/txn":
-            number = self.written[node] = self.written.get(node, 0) + 1
+            number = self.transactions_sent[node] = self.transactions_sent.get(node, 0) + 1
         request = _Request(self, node, method, target, body, answer, number)
         self.network.deliver(node, "state", request.arrive)
 
-    def read(self, node: str, data: bytes) -> None:
-        """Count reads of what another node wrote without being told so."""
+    def count_unanswered_reads(self, node: str, data: bytes) -> None:
+        """Count the records in an answer to a node that another node wrote without getting an answer."""
         value = json.loads(data)
         rows = value.get("rows", value.get("events", [value]))
         for row in rows:
-            writer = self.unanswered.get((row.get("path") or row.get("write") or row.get("drop"), row.get("stamp")))
+            writer = self.unanswered_writes.get(
+                (row.get("path") or row.get("write") or row.get("drop"), row.get("stamp"))
+            )
             self.network.event_counts["unanswered write read by another"] += writer not in (None, node)
 
 
 class _Request:
-    """One request; a transaction has a number among those of its node."""
+    """A request; a transaction has a number that counts those of its node from 1, other requests have 0."""
 
     def __init__(
         self, link: StateLink, node: str, method: str, target: str, body: bytes | None, answer: Callable, number: int
@@ -51,13 +54,13 @@
             cluster.call_later(cluster.rng.uniform(2.0, 12.0), self._apply_late)
             return
         if self.number and net.chance(net.lost_answer_share):
-            self._handle(self._lose_answer)
+            self._handle(self._lose_write_answer)
             return
         chance = cluster.rng.random()
         if chance < net.state_loss_share / 3:
-            return  # lost on its way
+            return  # request lost
         if chance < net.state_loss_share * 2 / 3 and self.method != "GET":
-            # Applied late, long after the sender has given up.
+            # Applied late, possibly long after the sender's timeout.
             cluster.call_later(cluster.rng.uniform(1.0, 40.0), lambda: self._handle(self._discard_answer))
             return
         if chance < net.state_loss_share:
@@ -66,39 +69,39 @@
         self._handle(self._deliver_answer)
 
     def _handle(self, reply: Callable) -> None:
-        """The state service carries it out."""
+        """Pass the request to the state store and its answer to `reply`."""
         link, node = self.link, self.node
 
         def answered(status: int, data: bytes) -> None:
             if self.number and status == 200:
                 link.newest[node] = max(self.number, link.newest.get(node, 0))
-            if self.method == "GET" and status == 200 and link.unanswered:
-                link.read(node, data)
+            if self.method == "GET" and status == 200 and link.unanswered_writes:
+                link.count_unanswered_reads(node, data)
             reply(status, data)
 
         self.cluster.state.handle(node, self.method, self.target, self.body, answered)
 
-    # -- what becomes of the answer
+    # -- handling of the answer
 
     def _discard_answer(self, _status: int, _data: bytes) -> None:
         pass
 
     def _apply_late(self) -> None:
-        """A transaction is carried out when its sender has given up; nobody hears of it."""
+        """Apply a transaction after its sender's timeout, without an answer."""
         event_counts, newer = self.network.event_counts, self.link.newest.get(self.node, 0) > self.number
 
-        def carried_out(status: int, _data: bytes) -> None:
+        def applied(status: int, _data: bytes) -> None:
             event_counts["late write"] += 1
             event_counts[f"late write: {status}"] += 1
             event_counts["late write after newer ones"] += newer
 
-        self._handle(carried_out)
+        self._handle(applied)
 
-    def _lose_answer(self, status: int, data: bytes) -> None:
+    def _lose_write_answer(self, status: int, data: bytes) -> None:
         self.network.event_counts["answer to a write lost"] += 1
         if status == 200:
             for op in json.loads(self.body)["apply"]:
-                self.link.unanswered[(op.get("write") or op["drop"], json.loads(data)["epoch"])] = self.node
+                self.link.unanswered_writes[(op.get("write") or op["drop"], json.loads(data)["epoch"])] = self.node
 
     def _deliver_answer(self, status: int, data: bytes) -> None:
         net, cluster = self.network, self.cluster
--- a/tests/standins/__init__.py
+++ b/tests/standins/__init__.py
@@ -1,4 +1,4 @@
-"""Stand-ins for the state service, the cloud and the workers, by the published protocol, in virtual time."""
+"""Stand-ins for the state store, the cloud and the workers that follow the protocol in virtual time."""
 
 from tests.standins.cloud import Cloud
 from tests.standins.state import StateStore
--- a/tests/standins/cloud.py
+++ b/tests/standins/cloud.py
@@ -12,25 +12,26 @@
 
 
 class Cloud:
-    """Rents machines; the list lags."""
+    """A cloud that rents machines and whose list of machines lags behind."""
 
     def __init__(self, cluster: Any, machine_types: list[dict], capacity_per_pool: int) -> None:
         self.cluster = cluster
         self.machine_types = machine_types
-        self.capacity_per_pool = capacity_per_pool  # machines that there are of each type, zone and kind
+        # A pool is a machine type in a zone, either spot or on demand.
+        self.capacity_per_pool = capacity_per_pool
         self.machines: dict[str, Worker] = {}
-        self.requests: dict[str, list[str]] = {}
-        self.history: list[tuple[float, list[dict]]] = [(0.0, [])]
+        self.rentals: dict[str, list[str]] = {}  # request id -> names of the machines
+        self.list_history: list[tuple[float, list[dict]]] = [(0.0, [])]  # time, list of machines
         self.down = False
-        self.rejected_calls = 0  # calls beyond the budget
-        self.fast_provisioning = False  # machines are up within two seconds
-        self.failing_zones: set[str] = set()  # in which no machine comes up
-        self.rented_by_zone: Counter[str] = Counter()  # machines, by zone
-        self.provisioning_failure_share = 0.0  # share of machines that never come up, beyond the usual ones
-        self.provisioning_slowdown = 1.0  # times the usual time to come up
-        self.max_answer_delay_s = 0.0  # how late answers to rentals may be
-        self._count = 0
-        self._tokens, self._tokens_at = 0.0, -1e9
+        self.rejected_calls = 0  # calls beyond the rate limit
+        self.fast_provisioning = False  # whether machines are up within two seconds
+        self.failing_zones: set[str] = set()  # zones in which provisioning always fails
+        self.rented_by_zone: Counter[str] = Counter()
+        self.provisioning_failure_share = 0.0  # share of machines that never come up, beyond the usual 5 %
+        self.provisioning_slowdown = 1.0  # factor of the usual provisioning time
+        self.max_answer_delay_s = 0.0  # maximum delay of answers to rentals
+        self._rented_count = 0
+        self._tokens, self._tokens_at = 0.0, -1e9  # of the rate limit's token bucket
 
     def handle(self, method: str, target: str, body: bytes | None, answer: Callable) -> None:
         rps, now = self.cluster.settings.params.cloud.rps, self.cluster.now
@@ -57,24 +58,24 @@
             self._rent(value, answer)
         else:
             lag = self.cluster.settings.params.cloud.list_lag_s * self.cluster.rng.uniform(0.3, 2.0)
-            listing = [entry for t, entry in self.history if t <= max(0.0, self.cluster.now - lag)][-1]
-            after = [entry for entry in listing if entry["name_id"] > query["after"]]
-            page = int(query["page"])
-            answer(200, json.dumps({"boxes": after[:page], "more": len(after) > page}).encode())
+            listing = [entries for time, entries in self.list_history if time <= max(0.0, self.cluster.now - lag)][-1]
+            remaining = [entry for entry in listing if entry["name_id"] > query["after"]]
+            page_size = int(query["page"])
+            answer(200, json.dumps({"boxes": remaining[:page_size], "more": len(remaining) > page_size}).encode())
 
     def _rent(self, value: dict, answer: Callable) -> None:
-        if value["ask"] in self.requests:
-            answer(200, json.dumps({"boxes": self.requests[value["ask"]]}).encode())
+        if value["ask"] in self.rentals:
+            answer(200, json.dumps({"boxes": self.rentals[value["ask"]]}).encode())
             return
-        kind = (value["rig"], value["yard"], value["loaners"])
-        there = sum((w.machine_type["name"], w.zone, w.spot) == kind for w in self.machines.values())
+        pool = (value["rig"], value["yard"], value["loaners"])
+        rented = sum((w.machine_type["name"], w.zone, w.spot) == pool for w in self.machines.values())
         names = []
-        for _ in range(min(value["count"], self.capacity_per_pool - there)):
-            self._count += 1
-            name = f"host-{self._count:06d}"
+        for _ in range(min(value["count"], self.capacity_per_pool - rented)):
+            self._rented_count += 1
+            name = f"host-{self._rented_count:06d}"
             names.append(name)
             self.rented_by_zone[value["yard"]] += 1
-            machine_type = next(r for r in self.machine_types if r["name"] == value["rig"])
+            machine_type = next(offered for offered in self.machine_types if offered["name"] == value["rig"])
             worker = Worker(self.cluster, name, machine_type, value["yard"], value["loaners"])
             self.machines[name] = worker
             if self.cluster.rng.random() < 0.95 - self.provisioning_failure_share:
@@ -84,7 +85,7 @@
                 if value["yard"] not in self.failing_zones:
                     self.cluster.call_later(boot_s, worker.boot)
         if names:
-            self.requests[value["ask"]] = names
+            self.rentals[value["ask"]] = names
             self._answer_rental(names, answer)
         else:
             answer(503, b'{"error":"no capacity"}')
@@ -108,6 +109,7 @@
             worker.power_off()
 
     def step(self) -> None:
+        """Record the current list of machines."""
         listing = [
             {
                 "name_id": w.name,
@@ -120,5 +122,5 @@
             }
             for _, w in sorted(self.machines.items())
         ]
-        self.history.append((self.cluster.now, listing))
-        del self.history[:-200]
+        self.list_history.append((self.cluster.now, listing))
+        del self.list_history[:-200]
--- a/tests/standins/state.py
+++ b/tests/standins/state.py
@@ -1,4 +1,4 @@
-"""A stand-in for the state service."""
+"""A stand-in for the state store."""
 
 from __future__ import annotations
 
@@ -12,23 +12,23 @@
 
 
 class StateStore:
-    """A consistent store with leases and watches. Lost answers and late requests are the network's doing."""
+    """A consistent store with leases and watches; lost answers and late requests are simulated by the network."""
 
     def __init__(self, cluster: Any) -> None:
         self.cluster = cluster
-        self.rows: dict[str, tuple[Any, int, int | None]] = {}
+        self.rows: dict[str, tuple[Any, int, int | None]] = {}  # key -> value, modification revision, lease id
         self.revision = 0
-        self.change_log: list[tuple[int, str, Any, bool]] = []
-        self.leases: dict[int, tuple[float, float]] = {}
+        self.change_log: list[tuple[int, str, Any, bool]] = []  # revision, key, value, whether it is a put
+        self.leases: dict[int, tuple[float, float]] = {}  # lease id -> expiry, time to live
         self.next_lease_id = 1
         self.down = False
         self.refused_nodes: set[str] = set()  # nodes that get 503 while others are served
-        self.open_watches: list[tuple[str, str, int, Callable]] = []
-        self.retained_changes = 10_000  # changes that a watch can still be told of
-        self.compacted_revision = 0  # the newest revision of which a change is not retained any more
-        self.lowered_limits: Any = None  # limits that are enforced since `lower`
-        self.refused_writes: Counter[str] = Counter()  # by those limits: why, how often
-        self._tokens, self._tokens_at = 0.0, 0.0
+        self.open_watches: list[tuple[str, str, int, Callable]] = []  # node, prefix, after which revision, answer
+        self.retained_changes = 10_000  # number of changes that watches can still report
+        self.compacted_revision = 0  # newest revision of which a change is no longer retained
+        self.lowered_limits: Any = None  # limits that are enforced since `lower_limits`
+        self.refused_writes: Counter[str] = Counter()  # transactions refused by the lowered limits, by the limit
+        self._tokens, self._tokens_at = 0.0, 0.0  # of the lowered rate limit's token bucket
 
     def handle(self, node: str, method: str, target: str, body: bytes | None, answer: Callable) -> None:
         url = urlsplit(target)
@@ -72,33 +72,35 @@
         return 200, {}
 
     def _check_single_writer(self, key: str, node: str) -> None:
-        """Only the owner of a team writes the team's assignment records."""
+        """Check that only the owner of a team writes the team's assignment records."""
         if key.startswith("live/"):
             owner = self.rows.get("own/home/" + key.split("/")[1])
             if owner is None or owner[0]["n"] != node:
-                raise RuleViolationError(f"two writers: {node} writes {key}, {owner and owner[0]['n']} owns it")
+                raise RuleViolationError(
+                    f"two writers: {node} writes {key}, but the team's owner is {owner and owner[0]['n']}"
+                )
 
     def lower_limits(self, **limits: float) -> None:
-        """From now on these limits are enforced (by default those of `state.next`); what is stored stays readable."""
+        """Enforce these limits from now on, by default those of `state.next`; stored values stay readable."""
         least = self.cluster.settings.params.state.least
         self.lowered_limits = {name: getattr(least, name) for name in ("write_rps", "value_kb", "txn_ops")} | limits
         self._tokens, self._tokens_at = self.lowered_limits["write_rps"], self.cluster.now
 
     def _limit_status(self, body: dict) -> int | None:
-        """400 or 429 where a transaction goes beyond the lowered limits."""
+        """Return 400 or 429 for a transaction that exceeds the lowered limits, else None."""
         limits, now = self.lowered_limits, self.cluster.now
         values = [json.dumps(op["v"], separators=(",", ":")) for op in body["apply"] if "write" in op]
-        why = None
+        exceeded = None
         if len(body["apply"]) > limits["txn_ops"]:
-            why = "operations"
+            exceeded = "operations"
         elif len(body["when"]) > 4 * limits["txn_ops"]:
-            why = "conditions"
+            exceeded = "conditions"
         elif any(len(value.encode()) > 1024 * limits["value_kb"] for value in values):
-            why = "value"
+            exceeded = "value"
         elif len(json.dumps(body, separators=(",", ":")).encode()) > 64 * 1024:
-            why = "size"
-        if why is not None:
-            self.refused_writes[why] += 1
+            exceeded = "size"
+        if exceeded is not None:
+            self.refused_writes[exceeded] += 1
             return 400
         rate = limits["write_rps"]
         self._tokens = min(rate, self._tokens + rate * (now - self._tokens_at))
@@ -122,7 +124,7 @@
         if failed:
             return 409, {"failed": failed, "epoch": self.revision}
         if not body["apply"]:
-            return 200, {"epoch": self.revision}  # it only compared
+            return 200, {"epoch": self.revision}  # a transaction of conditions only
         self.revision += 1
         for op in body["apply"]:
             self._check_single_writer(op.get("write") or op["drop"], node)
@@ -131,20 +133,20 @@
                 self._put(op["write"], op["v"], op.get("hold"))
             else:
                 self._delete(op["drop"])
-        self._wake()
+        self._answer_due_watches()
         return 200, {"epoch": self.revision}
 
     def _put(self, key: str, value: Any, lease_id: int | None) -> None:
         self.rows[key] = (value, self.revision, lease_id)
-        self._note(key, value, True)
+        self._log_change(key, value, True)
         self.cluster.network.on_change(key, value, self.revision)
 
     def _delete(self, key: str) -> None:
         if self.rows.pop(key, None) is not None:
-            self._note(key, None, False)
+            self._log_change(key, None, False)
 
-    def _note(self, key: str, value: Any, put: bool) -> None:
-        self.change_log.append((self.revision, key, value, put))
+    def _log_change(self, key: str, value: Any, is_put: bool) -> None:
+        self.change_log.append((self.revision, key, value, is_put))
         if len(self.change_log) > 1.2 * self.retained_changes:
             self.compacted_revision = self.change_log[-self.retained_changes - 1][0]
             del self.change_log[: -self.retained_changes]
@@ -154,57 +156,59 @@
         self.revision += 1
         for key in [k for k, row in self.rows.items() if row[2] == lease_id]:
             self._delete(key)
-        self._wake()
+        self._answer_due_watches()
 
     def step(self) -> None:
-        """Ends leases that have expired; during an outage none does."""
+        """End leases that have expired; during an outage none expires."""
         if self.down:
             return
         for lease_id, (until, _) in list(self.leases.items()):
             if until < self.cluster.now:
                 self._end_lease(lease_id)
-        self._wake()
+        self._answer_due_watches()
 
     def set_down(self, down: bool) -> None:
+        """Begin or end an outage, after which every lease has its full time to live again."""
         if self.down and not down:
             self.leases = {lease_id: (self.cluster.now + ttl, ttl) for lease_id, (_, ttl) in self.leases.items()}
         self.down = down
 
     def _events(self, prefix: str, after: int) -> list[dict]:
+        """Return the retained changes of keys with a prefix after a revision, as a watch reports them."""
         events = []
-        for revision, key, value, put in self.change_log:
+        for revision, key, value, is_put in self.change_log:
             if revision > after and key.startswith(prefix):
                 events.append(
-                    {"write": key, "v": value, "stamp": revision} if put else {"drop": key, "stamp": revision}
+                    {"write": key, "v": value, "stamp": revision} if is_put else {"drop": key, "stamp": revision}
                 )
         return events
 
     def _watch(self, node: str, query: dict, answer: Callable) -> None:
-        entry = (node, query["starts"], int(query["after"]), answer)
-        self.open_watches.append(entry)
+        watch = (node, query["starts"], int(query["after"]), answer)
+        self.open_watches.append(watch)
 
         def expire() -> None:
-            if entry in self.open_watches:
+            if watch in self.open_watches:
                 if self.down or node in self.refused_nodes:
                     self.cluster.call_later(0.2, expire)
                     return
-                self._tell(entry)
+                self._answer_watch(watch)
 
         self.cluster.call_later(int(query.get("wait_ms", 0)) / 1000, expire)
-        self._wake()
+        self._answer_due_watches()
 
-    def _wake(self) -> None:
+    def _answer_due_watches(self) -> None:
         if self.down:
             return
-        for entry in list(self.open_watches):
-            node, prefix, after, _answer = entry
+        for watch in list(self.open_watches):
+            node, prefix, after, _answer = watch
             if node not in self.refused_nodes and (after < self.compacted_revision or self._events(prefix, after)):
-                self._tell(entry)
+                self._answer_watch(watch)
 
-    def _tell(self, entry: tuple[str, str, int, Callable]) -> None:
-        """Answer a watch, also one that has waited through a refusal, with all that has changed since."""
-        self.open_watches.remove(entry)
-        _node, prefix, after, answer = entry
+    def _answer_watch(self, watch: tuple[str, str, int, Callable]) -> None:
+        """Answer a watch, also one that has waited during a refusal, with all changes since its revision."""
+        self.open_watches.remove(watch)
+        _node, prefix, after, answer = watch
         if after < self.compacted_revision:
             answer(410, b"{}")
             return
--- a/tests/standins/worker.py
+++ b/tests/standins/worker.py
@@ -8,7 +8,7 @@
 
 
 class Worker:
-    """One machine's worker, by the protocol: fencing tokens, leases, sessions, one heartbeat in flight."""
+    """The worker of one machine: fencing tokens, lease, sessions, one heartbeat in flight at a time."""
 
     def __init__(self, cluster: Any, name: str, machine_type: dict, zone: str, spot: bool) -> None:
         self.cluster = cluster
@@ -16,19 +16,18 @@
         self.addr = f"10.1.0.{int(name[-6:])}:9000"
         self.created_at = cluster.now
         self.up = self.dead = self.failed = self.hung = False
-        self.faulty = False
+        self.faulty = False  # whether all its tasks fail
         self.session, self.sequence, self.fencing_token = 1, 0, 0
-        self.termination_at: float | None = None  # when the cloud takes it, once that has been told
-        self.tasks: dict[tuple[str, int], dict] = {}
+        self.termination_at: float | None = None  # announced time at which the cloud reclaims the machine
+        self.tasks: dict[tuple[str, int], dict] = {}  # task and attempt -> state
         self.images: set[str] = set()
-        self.node = cluster.rng.randrange(len(cluster.node_names))
+        self.node = cluster.rng.randrange(len(cluster.node_names))  # index of the node that gets its heartbeats
         self.heartbeat_number = 0
         self.heartbeat_in_flight = False
-        self.last_sent = 0.0
-        self.answered_sent = 0.0
+        self.last_sent_at = 0.0
         self.lease_renewed_at = 0.0
-        self.clock_rate = 1.0  # of its steady clock
-        self.token_reported_at = -1e9  # when a higher token last counted as a change
+        self.clock_rate = 1.0  # rate of its monotonic clock
+        self.token_reported_at = -1e9  # when a higher token last caused an extra heartbeat
 
     def boot(self) -> None:
         if not self.dead:
@@ -42,12 +41,12 @@
         self.tasks.clear()
 
     def announce_termination(self, seconds: float) -> None:
-        """The cloud will take the machine; to do so is the caller's."""
+        """Announce that the cloud will reclaim the machine; the caller has to remove it."""
         self.termination_at = self.cluster.now + seconds
         self._send_heartbeat()
 
     def fail(self) -> None:
-        """Stops of its own accord, with all that is on it."""
+        """Stop the machine with all its tasks; the cloud lists it as failed 30 s later."""
         self.power_off()
         self.cluster.call_later(30.0, lambda: setattr(self, "failed", True))
 
@@ -55,11 +54,11 @@
         return [key for key, task in self.tasks.items() if task["status"] != "exited"]
 
     def started_tasks(self) -> list[tuple[str, int]]:
-        """Tasks that hold their image and have not ended."""
+        """Return the tasks whose image is fetched and that have not ended."""
         return [key for key, task in self.tasks.items() if task["status"] in ("running", "flushing")]
 
     def step(self) -> None:
-        """Lease and progress; a hanging machine does neither, but its lease counts on."""
+        """Check the lease and advance the tasks; a machine that hangs does neither, but its lease runs on."""
         cluster = self.cluster
         if not self.up or self.hung:
             return
@@ -88,7 +87,7 @@
         if (
             changed
             or not self.heartbeat_in_flight
-            and cluster.now - self.last_sent > cluster.settings.params.workers.report_s
+            and cluster.now - self.last_sent_at > cluster.settings.params.workers.report_s
         ):
             self._send_heartbeat()
 
@@ -117,25 +116,25 @@
         cluster = self.cluster
         if self.heartbeat_in_flight or not self.up or self.hung:
             return
-        if cluster.now - self.last_sent < 0.5:
-            cluster.call_later(0.501 - (cluster.now - self.last_sent), self._send_heartbeat)
+        if cluster.now - self.last_sent_at < 0.5:
+            cluster.call_later(0.501 - (cluster.now - self.last_sent_at), self._send_heartbeat)
             return
         self.heartbeat_in_flight = True
         self.heartbeat_number += 1
-        number, sent, session = self.heartbeat_number, cluster.now, self.session
-        self.last_sent = sent
+        number, sent_at, session = self.heartbeat_number, cluster.now, self.session
+        self.last_sent_at = sent_at
 
         def answered(status: int | None, body: bytes) -> None:
             if number != self.heartbeat_number or not self.heartbeat_in_flight or not self.up:
-                return  # given up on
+                return  # timed out, or of an earlier session
             if self.hung:
                 cluster.call_later(0.5, lambda: answered(status, body))
                 return
             self.heartbeat_in_flight = False
-            if cluster.now - sent > 4.0:
+            if cluster.now - sent_at > 4.0:
                 status = None
             if status == 200:
-                self._apply_response(json.loads(body), sent, session)
+                self._apply_response(json.loads(body), sent_at, session)
                 return
             leader = json.loads(body).get("boss") if status == 421 else None
             if leader in cluster.node_names and leader != cluster.node_names[self.node]:
@@ -149,31 +148,31 @@
         cluster.network.send_to_node(self.name, cluster.node_names[self.node], "POST", "/v1/report", body, answered)
         cluster.call_later(4.0, lambda: answered(None, b""))
 
-    def _apply_response(self, response: dict, sent: float, session: int) -> None:
+    def _apply_response(self, response: dict, sent_at: float, session: int) -> None:
         if response.get("baton", -1) < self.fencing_token or session != self.session:
-            return  # dropped: not renewed, not executed
-        higher = response["baton"] > self.fencing_token
+            return  # a stale answer neither renews the lease nor executes commands
+        is_token_higher = response["baton"] > self.fencing_token
         self.fencing_token = response["baton"]
-        self.lease_renewed_at = max(self.lease_renewed_at, sent)
+        self.lease_renewed_at = max(self.lease_renewed_at, sent_at)
         before = {key: task["status"] for key, task in self.tasks.items()}
         for command in response["orders"]:
             self._execute(command)
         if (
-            higher
+            is_token_higher
             and self._should_report_token()
             or before != {key: task["status"] for key, task in self.tasks.items()}
         ):
             self._send_heartbeat()
 
     def _should_report_token(self) -> bool:
-        """Whether a higher token counts as a change: at most once in half a lease."""
+        """Check whether a higher token justifies an extra heartbeat, at most once in half a lease."""
         if self.cluster.now - self.token_reported_at < self.cluster.settings.params.workers.lease_s / 2:
             return False
         self.token_reported_at = self.cluster.now
         return True
 
     def handle_request(self, method: str, target: str, body: bytes | None, answer: Callable) -> None:
-        """GET /show and POST /orders; a machine without power says nothing, a hanging one answers late."""
+        """Handle GET /show and POST /orders; a machine that is down does not answer, one that hangs answers late."""
         if not self.up:
             return
         if self.hung:
@@ -187,11 +186,11 @@
             answer(409, json.dumps(self._heartbeat()).encode())
             return
         if method == "POST":
-            higher = value["baton"] > self.fencing_token
+            is_token_higher = value["baton"] > self.fencing_token
             self.fencing_token = value["baton"]
             for command in value["orders"]:
                 self._execute(command)
-            if higher and self._should_report_token():
+            if is_token_higher and self._should_report_token():
                 self.cluster.call_later(0.0, self._send_heartbeat)
         answer(200, json.dumps(self._heartbeat()).encode())
 
@@ -213,9 +212,9 @@
         task = {"status": "exited", "cause": "unknown", "image": "", "run_s": 0.0, "fails": False}
         if job is None:
             return task
-        if any(other == name and s["status"] != "exited" for (other, _), s in self.tasks.items()):
+        if any(other == name and state["status"] != "exited" for (other, _), state in self.tasks.items()):
             return task | {"cause": "busy"}
-        used = [0.0, 0.0]
+        used = [0.0, 0.0]  # CPUs, memory in GB
         for (other, _), state in self.tasks.items():
             if state["status"] != "exited":
                 spec = cluster.jobs[other.rsplit("/", 1)[0]].spec
@@ -227,13 +226,13 @@
         ):
             return task | {"cause": "full"}
         image = job.spec["playbook"]
-        fetch = 0.0 if image in self.images else job.spec["pull_gb"] / self.machine_type["pull_gb_per_s"]
-        run = 0.05 if name in cluster.finished_tasks else job.spec["expected_s"] * cluster.rng.uniform(0.5, 1.6)
+        fetch_s = 0.0 if image in self.images else job.spec["pull_gb"] / self.machine_type["pull_gb_per_s"]
+        run_s = 0.05 if name in cluster.finished_tasks else job.spec["expected_s"] * cluster.rng.uniform(0.5, 1.6)
         return {
             "status": "pulling",
             "cause": None,
             "image": image,
-            "fetched_at": cluster.now + fetch,
-            "run_s": run,
+            "fetched_at": cluster.now + fetch_s,
+            "run_s": run_s,
             "fails": job.always_fails,
         }
--- a/tests/versions.py
+++ b/tests/versions.py
@@ -1,7 +1,7 @@
-"""Versions of the service whose controllers a cluster can run: the present one, and the one in production.
+"""Versions of the service whose controllers a simulated cluster can run: the current one and the one in production.
 
-The production version is the package as it stood at the commit that `deploy/service.toml` names, taken from the
-repository's own history. It is imported beside the present one under another package name; nothing else of it changes.
+The production version is the package at the commit that `deploy/service.toml` names, taken from the repository's
+history. It is imported beside the current one under another package name and is otherwise unchanged.
 """
 
 from __future__ import annotations
@@ -35,7 +35,7 @@
 
 @dataclass(frozen=True)
 class Version:
-    """What a cluster needs of a version to run its controllers."""
+    """The parts of a version that a simulated cluster needs to run its controllers."""
 
     package: str
     controller: Callable[..., Any]
@@ -44,11 +44,11 @@
     request: Callable[..., Any]
 
     def module(self, name: str) -> ModuleType:
-        """A module of this version by its name inside the package."""
+        """Return a module of this version by its name inside the package."""
         return importlib.import_module(f"{self.package}.{name}")
 
     def modules(self) -> list[str]:
-        """The names of all modules of this version that are imported."""
+        """Return the names of all modules of this version that are imported."""
         prefix = self.package + "."
         return sorted(name.removeprefix(prefix) for name in sys.modules if name.startswith(prefix))
 
@@ -68,29 +68,29 @@
 
 @functools.cache
 def current_version() -> Version:
-    """The version of the working tree."""
+    """Return the version of the working tree."""
     return _version(CURRENT_PACKAGE)
 
 
 def production_commit() -> str:
-    """The commit in production, as the deploy file names it."""
+    """Return the commit in production that the deploy file names."""
     deploy = tomllib.loads((ROOT / "deploy" / "service.toml").read_text(encoding="utf-8"))
     return deploy["production"]
 
 
 def _archive(commit: str) -> bytes:
     command = ["git", "-C", str(ROOT), "archive", "--format=tar", commit, CURRENT_PACKAGE]
-    done = subprocess.run(command, capture_output=True, check=False)
-    if done.returncode:
+    completed = subprocess.run(command, capture_output=True, check=False)
+    if completed.returncode:
         raise MissingCommitError(
             f"the production version can't be tested: git archive of commit {commit}, which deploy/service.toml names, "
-            f"failed; a full clone of the repository is needed: {done.stderr.decode(errors='replace').strip()}"
+            f"failed; a full clone of the repository is needed: {completed.stderr.decode(errors='replace').strip()}"
         )
-    return done.stdout
+    return completed.stdout
 
 
 def archived_modules(commit: str) -> dict[str, bytes]:
-    """The modules of the package at a commit, by their paths inside it."""
+    """Return the sources of the package's modules at a commit by their paths inside the package."""
     with tarfile.open(fileobj=io.BytesIO(_archive(commit))) as archive:
         members = [member for member in archive.getmembers() if member.name.endswith(".py")]
         return {
@@ -99,7 +99,7 @@
 
 
 def extract_package(commit: str, folder: Path) -> Path:
-    """Lay out the package of a commit under its other name; only its import statements are rewritten."""
+    """Extract the package of a commit under its other name and rewrite only its import statements."""
     with tarfile.open(fileobj=io.BytesIO(_archive(commit))) as archive:
         archive.extractall(folder, filter="data")
     package = (folder / CURRENT_PACKAGE).rename(folder / PRODUCTION_PACKAGE)
@@ -111,7 +111,7 @@
 
 @functools.cache
 def production_version() -> Version:
-    """The version in production, imported once a process."""
+    """Return the version in production, which each process imports once."""
     folder = Path(tempfile.mkdtemp(prefix="tealhook-production-"))
     atexit.register(shutil.rmtree, folder, ignore_errors=True)
     extract_package(production_commit(), folder)
@@ -123,12 +123,12 @@
 
 
 def owned_partitions(controller: Any) -> dict[str, Any]:
-    """The partitions that a controller of either version owns, by zone."""
+    """Return the partitions that a controller of either version owns, by zone."""
     if hasattr(controller, "partition_manager"):
         return controller.partition_manager.partitions
     return controller.parts.parts  # the version in production
 
 
 def active_jobs(controller: Any) -> dict[str, Any]:
-    """The jobs that a controller of either version takes for active, by id."""
+    """Return the jobs that a controller of either version considers active, by id."""
     return controller.job_index.active if hasattr(controller, "job_index") else controller.book.active
