--- a/tests/test_command_loss.py
+++ b/tests/test_command_loss.py
@@ -42,7 +42,7 @@
 
 
 def test_without_command_loss_detection_tasks_are_sent_in_vain(monkeypatch):
-    monkeypatch.setattr(MachineHealth, "note_commands_lost", lambda self, machine, now: None)
+    monkeypatch.setattr(MachineHealth, "mark_commands_lost", lambda self, machine, now: None)
     cluster, _name = _cluster_with_command_loss(900.0)
     assert cluster.network.lost_starts > 40
 
@@ -99,7 +99,13 @@
     machine = part.machines[name]
     cluster.cloud.machines[name].hung = True
     cluster.run(3.0)
-    before = (machine.heard_at, machine.sequence, machine.session, set(machine.tasks), set(machine.reservations))
+    before = (
+        machine.last_heartbeat_at,
+        machine.sequence,
+        machine.session,
+        set(machine.tasks),
+        set(machine.reservations),
+    )
     told = []
     part.status_updates._observer = StatusUpdateRecorder(told)
     assert len(duplicates) > 3
@@ -107,19 +113,25 @@
         _accept_duplicates(monkeypatch)
     for body in duplicates:
         _send_heartbeat(owner, body)
-    after = (machine.heard_at, machine.sequence, machine.session, set(machine.tasks), set(machine.reservations))
+    after = (
+        machine.last_heartbeat_at,
+        machine.sequence,
+        machine.session,
+        set(machine.tasks),
+        set(machine.reservations),
+    )
     assert (before == after) == (told == []) == (not disabled)
 
 
 @pytest.mark.parametrize("disabled", [False, True])
 def test_duplicate_heartbeat_does_not_revive_released_machine(disabled, monkeypatch):
     if disabled:
-        monkeypatch.setattr("tealhook.partitions.released_machines.MIN_REMEMBERED", 0)
-        monkeypatch.setattr("tealhook.partitions.released_machines.REMEMBERED_LEASES", -1.0)
+        monkeypatch.setattr("tealhook.partitions.released_machines.MIN_REMEMBERED_MACHINES", 0)
+        monkeypatch.setattr("tealhook.partitions.released_machines.RETENTION_LEASES", -1.0)
     owner, name, duplicates = _duplicate_heartbeats(cluster := _busy_cluster(23))
     cluster.cloud.remove(name)
     for node in cluster.controllers.values():
-        node.partition_manager.forget_machine(name)
+        node.partition_manager.remove_machine(name)
     for body in duplicates:
         _send_heartbeat(owner, body)
     assert any(name in part.machines for part in owner.partition_manager.partitions.values()) == disabled
--- a/tests/test_guards.py
+++ b/tests/test_guards.py
@@ -7,9 +7,9 @@
 from tealhook.partitions.manager import PartitionManager
 from tealhook.partitions.partition import Partition
 from tealhook.partitions.state import PartitionState
-from tealhook.scheduling.attempts import Attempts
-from tealhook.scheduling.candidates import CandidateSelection
-from tealhook.scheduling.commits import Commits
+from tealhook.scheduling.attempts import AttemptTracker
+from tealhook.scheduling.candidates import CandidateSelector
+from tealhook.scheduling.job_committer import JobCommitter
 from tealhook.scheduling.team_scheduler import TeamState
 from tealhook.state_store import Outcome, StateClient
 from tealhook.wire import mesh
@@ -24,16 +24,16 @@
 
 
 def _accept_any_proof_of_absence(patch):
-    patch.setattr(Attempts, "_proves_absence", staticmethod(lambda attempt, news: True))
+    patch.setattr(AttemptTracker, "_proves_absence", staticmethod(lambda attempt, news: True))
 
 
 def _assume_uncertain_commits(patch):
-    whole = Commits._committed
+    whole = JobCommitter._on_result
 
     def guess(self, batch, outcome, epoch, failed):
         whole(self, batch, Outcome.COMMITTED if outcome is Outcome.UNKNOWN else outcome, epoch, failed)
 
-    patch.setattr(Commits, "_committed", guess)
+    patch.setattr(JobCommitter, "_on_result", guess)
 
 
 def _drop_conditions(prefix):
@@ -66,7 +66,7 @@
 
 
 def _ignore_zone_limits(patch):
-    patch.setattr(CandidateSelection, "zone_limits", lambda self, job, spec, zones: {})
+    patch.setattr(CandidateSelector, "zone_limits", lambda self, job, spec, zones: {})
 
 
 def _silence_is_proof(patch):
@@ -212,7 +212,7 @@
     )
     worker = next(w for w in cluster.cloud.machines.values() if w.name in real.machines)
     plays = [wire.TaskReport("req-000000/0", 1, "running")]
-    partition.launched_jobs.remember("req-000000", "team-0", Resources(1.0, 0.0, 1.0))
+    partition.launched_jobs.record_launch("req-000000", "team-0", Resources(1.0, 0.0, 1.0))
     partition.on_heartbeat(
         wire.Heartbeat(
             worker.name, worker.addr, worker.machine_type["name"], worker.zone, 1, 999, real.token, True, None, plays
--- a/tests/test_scheduling.py
+++ b/tests/test_scheduling.py
@@ -6,7 +6,7 @@
 from tealhook.partitions.machine import AttemptKey, Machine, MachineTask
 from tealhook.partitions.packing import PackingOrder
 from tealhook.partitions.pending_grant import PendingGrant
-from tealhook.partitions.preemption import Preemption, PreemptionScope
+from tealhook.partitions.preemption import PreemptionPlanner, PreemptionScope
 from tealhook.partitions.state import PartitionState
 from tealhook.scheduling import candidates
 from tealhook.settings.platform import Objective
@@ -86,14 +86,14 @@
             cluster.now - ran_s,
             running_since=node.context.effects.now() - ran_s,
         )
-        machine.tasks[AttemptKey(held.task, 1)] = held
+        machine.tasks[AttemptKey(held.task_id, 1)] = held
     state = PartitionState(node.context, "za", 1, node.job_index, node.machine_types, {}, {"host-0": machine})
     shape = mesh.TaskRequirements(4.0, 0.0, 4.0, "", 0.0, True, (), 2, 20.0)
     want = mesh.ReservationRequest("req-000003", "team-1", shape, 1, False, False, [], 1, preempt, False)
     pending = PendingGrant(want, PackingOrder([machine], lambda _machine: NO_RESOURCES), node.context.effects.now())
     scope = PreemptionScope.ANY if preempt else PreemptionScope.CHECKPOINTING
-    offer = Preemption(state).offer(machine, pending, scope)
-    return [held.job for held in offer.victims] if offer is not None else []
+    plan = PreemptionPlanner(state).plan(machine, pending, scope)
+    return [held.job for held in plan.victims] if plan is not None else []
 
 
 def test_task_is_not_preempted_if_its_job_would_miss_its_deadline():
@@ -120,7 +120,7 @@
         cluster.run(1.0)
     found = {
         item.job.id: item.within_guarantee
-        for item in node.team_scheduler.cycle.selection.select(node.context.effects.now())
+        for item in node.team_scheduler.cycle.selector.select(node.context.effects.now())
     }
     return [found[job] for job in jobs]
 
@@ -149,6 +149,6 @@
 
 def test_without_quota_reservation_large_tasks_starve(monkeypatch):
     monkeypatch.setattr(
-        candidates.CandidateSelection, "_reserve_for_overdue", lambda self, team, jobs, now, hold_age_s: None
+        candidates.CandidateSelector, "_reserve_for_overdue", lambda self, team, jobs, now, hold_age_s: None
     )
     assert _team_at_its_limit().started_at is None
--- a/tests/test_teams_without_guarantee.py
+++ b/tests/test_teams_without_guarantee.py
@@ -4,8 +4,8 @@
 
 import pytest
 
-from tealhook.partitions.preemption import Preemption, PreemptionScope
-from tealhook.scheduling.candidates import CandidateSelection
+from tealhook.partitions.preemption import PreemptionPlanner, PreemptionScope
+from tealhook.scheduling.candidates import CandidateSelector
 from tests.simulated_cluster import SimulatedCluster
 from tests.user_requests import UNIFORM_JOB
 
@@ -46,16 +46,16 @@
 
 
 def test_without_checkpoint_preemption_others_wait(monkeypatch):
-    monkeypatch.setattr(Preemption, "_has_checkpoints", lambda self, task: False)
+    monkeypatch.setattr(PreemptionPlanner, "_has_checkpoints", lambda self, task: False)
     waits = [max(_waits_beside_long_work(seed)) for seed in range(3)]
     assert max(waits) > 20.0
 
 
 def test_delayed_checkpoint_preemption_makes_others_wait(monkeypatch):
-    monkeypatch.setattr(CandidateSelection, "may_preempt_checkpointing", lambda self, candidate: False)
+    monkeypatch.setattr(CandidateSelector, "may_preempt_checkpointing", lambda self, candidate: False)
     monkeypatch.setattr(
-        Preemption,
-        "scope_of",
+        PreemptionPlanner,
+        "allowed_scope",
         lambda self, request: PreemptionScope.ANY if request.may_preempt else PreemptionScope.NONE,
     )
     waits = [max(_waits_beside_long_work(seed)) for seed in range(3)]
