--- a/tests/infrastructure_faults.py
+++ b/tests/infrastructure_faults.py
@@ -93,7 +93,7 @@
         cluster.call_later(until, lambda: cluster.state.set_down(False))
         cluster.call_later(until, lambda: setattr(cluster.state, "refused_nodes", set()))
 
-    # -- reports and commands
+    # -- heartbeats and commands
 
     def late_heartbeats(self) -> None:
         set_temporarily(
@@ -163,7 +163,7 @@
     def all_crash(self) -> None:
         crash_all_controllers(self.cluster, lambda _name: self.rng.uniform(0.05, 1.0))
 
-    def all_crash_one_is_back(self) -> None:
+    def all_crash_one_returns_early(self) -> None:
         first = self.rng.choice(self.cluster.node_names)
         crash_all_controllers(
             self.cluster, lambda name: self.rng.uniform(0.05, 1.0) if name == first else self.duration
@@ -172,7 +172,7 @@
     def all_crash_for_leases(self) -> None:
         crash_all_controllers(self.cluster, lambda _name: self.rng.uniform(1.0, 2.5) * self.lease_s)
 
-    def leaders_change(self) -> None:
+    def owners_crash_repeatedly(self) -> None:
         """Crash owners repeatedly, in some cases with an outage of the state store in between."""
         cluster, rng = self.cluster, self.rng
         crash_owners_repeatedly(cluster, self.owner_kind, rng.randint(2, 10), 12.0)
@@ -194,8 +194,8 @@
         cut_owner,
         rentals_answered_late,
         all_crash,
-        all_crash_one_is_back,
-        leaders_change,
+        all_crash_one_returns_early,
+        owners_crash_repeatedly,
         all_crash_for_leases,
         cut_zone,
     )
--- a/tests/simulation/effects.py
+++ b/tests/simulation/effects.py
@@ -69,17 +69,17 @@
 
     def state(self, method, target, body, timeout, answer) -> None:
         net = self.cluster.network
-        self._call(timeout, answer, lambda once: net.send_to_state(self.name, method, target, body, once))
+        self._call(timeout, answer, lambda answer_once: net.send_to_state(self.name, method, target, body, answer_once))
 
     def cloud(self, method, target, body, timeout, answer) -> None:
         net = self.cluster.network
-        self._call(timeout, answer, lambda once: net.send_to_cloud(self.name, method, target, body, once))
+        self._call(timeout, answer, lambda answer_once: net.send_to_cloud(self.name, method, target, body, answer_once))
 
     def worker(self, addr, method, target, body, timeout, answer) -> None:
         self._call(
             timeout,
             answer,
-            lambda once: self.cluster.network.send_to_worker(self.name, addr, method, target, body, once),
+            lambda answer_once: self.cluster.network.send_to_worker(self.name, addr, method, target, body, answer_once),
         )
 
     def mesh(self, peer: str, frame: bytes, **_batching: bool) -> None:
--- a/tests/simulation/faults.py
+++ b/tests/simulation/faults.py
@@ -118,7 +118,7 @@
             worker = self.rng.choice(workers)
             hang_machine(self.cluster, worker, self.rng.choice([self.rng.uniform(1.0, 8.0), self.duration]))
 
-    def lose_a_third(self) -> None:
+    def lose_third_of_machines(self) -> None:
         """Lose a third of the machines: the cloud reclaims spot machines, the others fail."""
         workers = machines_up(self.cluster)
         for worker in self.rng.sample(workers, max(1, len(workers) // 3)) if workers else ():
@@ -177,7 +177,7 @@
         lose_state_requests,
         cloud_down,
         hang_one,
-        lose_a_third,
+        lose_third_of_machines,
         make_machine_faulty,
         lose_commands,
         duplicate_heartbeats,
--- a/tests/simulation/network.py
+++ b/tests/simulation/network.py
@@ -32,9 +32,7 @@
         self.state_answer_delay_s = 0.0  # maximum additional delay of answers of the state store
         self.late_write_share = 0.0  # share of transactions that get no answer and are applied 2 to 12 s later
         self.lost_answer_share = 0.0  # share of transactions that are applied at once, but whose answer is lost
-        self.late_heartbeat_share = (
-            0.0  # share of heartbeats of which a copy arrives 2 s to three leases later anywhere
-        )
+        self.late_heartbeat_share = 0.0  # share of heartbeats of which a copy arrives 2 s to 3 leases later anywhere
         self.next_owner_copy_share = 0.0  # share of heartbeats of which a copy is kept for the next owner
         self.held_heartbeat_share = 0.0  # share of heartbeats that are held until the next owner starts a task
         self.late_command_share = 0.0  # share of direct commands of which the request or the answer is delayed
@@ -115,7 +113,7 @@
 
     # -- services
 
-    def on_change(self, key: str, value: Any, _revision: int) -> None:
+    def on_state_change(self, key: str, value: Any, _revision: int) -> None:
         """Record a change of owner that the state store has stored, and deliver the heartbeats kept for it."""
         if not key.startswith("own/") or key.startswith("own/node/"):
             return
--- a/tests/standins/state.py
+++ b/tests/standins/state.py
@@ -139,7 +139,7 @@
     def _put(self, key: str, value: Any, lease_id: int | None) -> None:
         self.rows[key] = (value, self.revision, lease_id)
         self._log_change(key, value, True)
-        self.cluster.network.on_change(key, value, self.revision)
+        self.cluster.network.on_state_change(key, value, self.revision)
 
     def _delete(self, key: str) -> None:
         if self.rows.pop(key, None) is not None:
