--- a/tealhook/fleet/__init__.py
+++ b/tealhook/fleet/__init__.py
@@ -1,4 +1,4 @@
-"""The fleet: renting and returning machines."""
+"""The fleet manager: rents machines from the cloud, drains and releases them."""
 
 from tealhook.fleet.manager import FleetManager
 
--- a/tealhook/fleet/demand.py
+++ b/tealhook/fleet/demand.py
@@ -1,4 +1,4 @@
-"""How much is asked for, now and lately: the figures that the policy is written over."""
+"""Demand for CPUs, current and recent: the figures behind the variables of the policy."""
 
 from __future__ import annotations
 
@@ -11,107 +11,112 @@
 from tealhook.wire.mesh import Demand, TaskRequirements
 from tealhook.wire.users import STANDARD_RANK
 
-WINDOW_BOOTS = 1  # lately: so many boots
-LATE_SLACK = 3.0  # by so much more time the objectives would just be met
-URGENT_BOOTS = 0.7  # within so much of a boot, waiting urgent work is to be worked off
+HISTORY_BOOTS = 1  # boot times over which demand is smoothed, and over which its peak is taken
+LATE_HORIZON_FACTOR = 3.0  # The horizon times this is the whole time that an objective allows.
+URGENT_HORIZON_BOOTS = 0.7  # share of a boot time in which waiting urgent work should be finished
 
 
 @dataclass
 class NonSpotDemand:
-    """Tasks that may not use spot machines: of jobs soon to be released, and those that have a machine."""
+    """Tasks that may not use spot machines.
+
+    `blocked`: tasks of jobs that are expected to be released soon. `placed`: tasks that have a machine.
+    """
 
     blocked: list[Demand] = field(default_factory=list)
     placed: list[Demand] = field(default_factory=list)
 
 
-def slots_per_machine(machine_type: MachineType, requirements: TaskRequirements) -> int:
-    """Tasks of a shape that fit an empty machine of a type."""
+def tasks_per_machine(machine_type: MachineType, requirements: TaskRequirements) -> int:
+    """Return the number of tasks with these requirements that fit an empty machine of a type."""
     count = math.inf
     pairs = (
         (machine_type.vcpus, requirements.vcpus),
         (machine_type.gpus, requirements.gpus),
         (machine_type.memory_gb, requirements.memory_gb),
     )
-    for have, need in pairs:
-        if need > 0:
-            count = min(count, int((have + 1e-6) / need))
+    for available, needed in pairs:
+        if needed > 0:
+            count = min(count, int((available + 1e-6) / needed))
     return 0 if count is math.inf else int(count)
 
 
-def machine_cpus(machine_types: dict[str, MachineType], demand: Demand) -> float:
-    """CPUs of whole machines that a demand fills, on the type that suits it best."""
+def whole_machine_cpus(machine_types: dict[str, MachineType], demand: Demand) -> float:
+    """Return the CPUs of the machines that a demand fills, for the machine type with the fewest; 0 if none fits."""
     best = math.inf
     for machine_type in machine_types.values():
         if demand.requirements.machine_types and machine_type.name not in demand.requirements.machine_types:
             continue
-        count = slots_per_machine(machine_type, demand.requirements)
+        count = tasks_per_machine(machine_type, demand.requirements)
         if count:
             best = min(best, demand.count * machine_type.vcpus / count)
     return 0.0 if best is math.inf else best
 
 
 class Horizon:
-    """Within what time waiting work of a class should be worked off, by the operators' objectives."""
+    """The planning horizon: the time in which the waiting work of a class should be finished, by its objectives."""
 
     def __init__(self, settings: Settings, boot_s: float) -> None:
-        """`boot_s`: how long a machine takes to come up."""
-        self._within = {job_class: within[0] for job_class, within in settings.done_within().items()}
+        """Initialize with the boot time of a machine, `boot_s`."""
+        self._objective_s = {job_class: within_s[0] for job_class, within_s in settings.done_within().items()}
         self._boot_s = boot_s
 
     def seconds(self, job_class: str, urgent: bool, late: bool = False) -> float:
-        """A third of what the objective allows: the rest is for its boots, its tail and what comes next.
+        """Return the horizon for waiting work of a class, in seconds.
 
-        Urgent work that waits for boots anyway is worked off in less than another boot. `late`: the longest
-        that would do, thrice that: the whole objective.
+        It is a third of the shortest objective: the rest of the time is left for provisioning, for the last tasks to
+        finish, and for the work that follows. Urgent work, which has to wait for provisioning anyway, should be
+        finished in less than another boot time. With `late`, the horizon is three times as long, the most with which
+        objectives can still be met.
         """
-        slack = LATE_SLACK if late else 1.0
+        factor = LATE_HORIZON_FACTOR if late else 1.0
         if urgent:
-            return slack * URGENT_BOOTS * self._boot_s
-        return slack * max(self._boot_s, self._within.get(job_class, 12 * self._boot_s) / 3)
+            return factor * URGENT_HORIZON_BOOTS * self._boot_s
+        return factor * max(self._boot_s, self._objective_s.get(job_class, 12 * self._boot_s) / 3)
 
 
 def backlog_cpus(machine_types: dict[str, MachineType], demand: Demand, horizon: Horizon, late: bool = False) -> float:
-    """CPUs that work off a class's waiting tasks in time."""
-    whole = machine_cpus(machine_types, demand)
+    """Return the CPUs that finish waiting tasks within the horizon, at least those of one task."""
+    filled_cpus = whole_machine_cpus(machine_types, demand)
     if demand.count <= 0:
         return 0.0
     urgent = demand.requirements.priority > STANDARD_RANK
-    share = min(1.0, max(demand.requirements.run_s, 1.0) / horizon.seconds(demand.job_class, urgent, late))
-    return max(whole * share, whole / demand.count)
+    run_share = min(1.0, max(demand.requirements.run_s, 1.0) / horizon.seconds(demand.job_class, urgent, late))
+    return max(filled_cpus * run_share, filled_cpus / demand.count)
 
 
 class DemandHistory:
-    """What was taken lately, smoothed, and its peak."""
+    """The CPUs in use during the last boot time, smoothed and at their peak, and the recent backlog."""
 
     def __init__(self, boot_s: float) -> None:
-        """`boot_s`: how long a machine takes to come up; the history goes back as long."""
-        self._span = WINDOW_BOOTS * boot_s
-        self._at: float | None = None
-        self.mean = 0.0
-        self.urgent = 0.0
-        self._peaks: deque[tuple[float, float]] = deque()
-        self._waits: deque[tuple[float, float]] = deque()
-
-    def record(self, now: float, used: float, urgent: float, waiting: float, window_s: float) -> None:
-        """Take in the CPUs that are taken, those of urgent work, and those waited for, kept for `window_s` seconds."""
-        if self._at is not None:
-            weight = 1.0 - math.exp(-max(0.0, now - self._at) / self._span)
-            self.mean += weight * (used - self.mean)
-            self.urgent += weight * (urgent - self.urgent)
-        self._at = now
-        self._peaks.append((now, used))
-        while self._peaks[0][0] < now - self._span:
-            self._peaks.popleft()
-        self._waits.append((now, waiting))
-        while self._waits[0][0] < now - window_s:
-            self._waits.popleft()
+        """Start an empty history that covers the boot time of a machine, `boot_s`."""
+        self._span_s = HISTORY_BOOTS * boot_s
+        self._updated_at: float | None = None
+        self.mean_cpus = 0.0
+        self.mean_urgent_cpus = 0.0
+        self._used_samples: deque[tuple[float, float]] = deque()
+        self._waiting_samples: deque[tuple[float, float]] = deque()
+
+    def record(self, now: float, used_cpus: float, urgent_cpus: float, waiting_cpus: float, window_s: float) -> None:
+        """Record the CPUs in use, those of urgent work, and those for waiting work, kept for `window_s` seconds."""
+        if self._updated_at is not None:
+            weight = 1.0 - math.exp(-max(0.0, now - self._updated_at) / self._span_s)
+            self.mean_cpus += weight * (used_cpus - self.mean_cpus)
+            self.mean_urgent_cpus += weight * (urgent_cpus - self.mean_urgent_cpus)
+        self._updated_at = now
+        self._used_samples.append((now, used_cpus))
+        while self._used_samples[0][0] < now - self._span_s:
+            self._used_samples.popleft()
+        self._waiting_samples.append((now, waiting_cpus))
+        while self._waiting_samples[0][0] < now - window_s:
+            self._waiting_samples.popleft()
 
     @property
-    def peak(self) -> float:
-        """The most that was taken lately."""
-        return max((used for _, used in self._peaks), default=0.0)
+    def peak_cpus(self) -> float:
+        """The most CPUs in use at once during the last boot time."""
+        return max((used_cpus for _, used_cpus in self._used_samples), default=0.0)
 
     @property
-    def lasting_wait(self) -> float:
-        """What has been waiting for a while, not just passing through."""
-        return min((waiting for _, waiting in self._waits), default=0.0)
+    def persistent_backlog_cpus(self) -> float:
+        """The least backlog during its window: work that has been waiting for all that time."""
+        return min((waiting_cpus for _, waiting_cpus in self._waiting_samples), default=0.0)
--- a/tealhook/fleet/machines.py
+++ b/tealhook/fleet/machines.py
@@ -1,4 +1,4 @@
-"""A machine that is rented, and the kinds of machine that can be."""
+"""Rented machines, and the options for renting one."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class RentalOption(NamedTuple):
-    """One kind of machine that can be rented: a type in a zone, spot or ordinary."""
+    """A machine type in a zone, as a spot or an on-demand machine."""
 
     machine_type: str
     zone: str
@@ -18,7 +18,7 @@
 
 @dataclass(slots=True)
 class RentedMachine:
-    """A machine that we rent."""
+    """A rented machine as the fleet manager knows it."""
 
     name: str
     machine_type: str
@@ -28,11 +28,11 @@
     status: str = MachineStatus.STARTING
     up_at: float = 0.0
     address: str = ""
-    reported_at: float = 0.0  # when its partition's owner last reported it, or could not
+    reported_at: float = 0.0  # when its partition's owner last reported it, or could not report any machine
     listed: bool = False
-    missing_since: float | None = None  # listed before, not in any list since then
+    missing_since: float | None = None  # since when the cloud's list lacks it, after it was listed
 
 
 def hourly_cpu_price(machine_type: MachineType, spot: bool) -> float:
-    """What a CPU of a type costs by the hour."""
+    """Return the hourly price of one CPU of a machine type."""
     return (machine_type.spot_price if spot else machine_type.hourly_price) / max(machine_type.vcpus, 1e-6)
--- a/tealhook/fleet/provisioning.py
+++ b/tealhook/fleet/provisioning.py
@@ -1,4 +1,4 @@
-"""How long machines take to come up, by type and zone: learned from actual boots, and forgotten again."""
+"""Provisioning times of machines by type and zone, learned from actual ones, with decay."""
 
 from __future__ import annotations
 
@@ -7,72 +7,79 @@
 
 from tealhook.wire.cloud import MachineType
 
-WEIGHT = 0.3  # of one boot in what is learned
-MEMORY_BOOTS = 20.0  # usual boot times after which most of what was learned is forgotten
-FAILED = 4.0  # times the usual time: as what a machine counts that never came up
-OVERDUE = 1.75  # times the usual time: usual boots take up to 1.5 times as long
-LONGEST = 8.0  # times the usual time: the most that is believed
+# A ratio compares an actual provisioning time with the usual boot time of the machine type.
+SAMPLE_WEIGHT = 0.3  # weight of one machine in the learned ratio
+DECAY_BOOTS = 20.0  # time constant of the decay towards the usual boot time, as a multiple of it
+FAILURE_RATIO = 4.0  # recorded for a machine that never came up
+OVERDUE_RATIO = 1.75  # A starting machine is overdue beyond this; usual boots take up to 1.5 times the usual time.
+MAX_RATIO = 8.0  # higher ratios are recorded as this
 
 
 class ProvisioningSite(NamedTuple):
-    """Where machines boot alike: a type in a zone."""
+    """A machine type in a zone, for which provisioning times are learned together."""
 
     machine_type: str
     zone: str
 
 
-class _Learned:
-    """A ratio of actual to usual boot times, and when it was last learned from."""
+class _LearnedRatio:
+    """A learned ratio, and when it was last updated."""
 
-    __slots__ = ("ratio", "at")
+    __slots__ = ("ratio", "updated_at")
 
-    def __init__(self, at: float) -> None:
+    def __init__(self, updated_at: float) -> None:
         self.ratio = 1.0
-        self.at = at
+        self.updated_at = updated_at
 
 
 class ProvisioningTimes:
-    """Ratios of actual to usual boot times. Demand goes where machines come up, and back once they do again."""
+    """The expected provisioning times of machine types in zones.
+
+    With them, demand moves to zones where machines come up, and back once they come up in the others again.
+    """
 
     def __init__(self) -> None:
-        """Nothing is known yet: machines are taken to come up in the usual time."""
-        self._learned: dict[ProvisioningSite, _Learned] = {}
+        """Start with nothing learned: machines are expected to come up in the usual boot time."""
+        self._learned: dict[ProvisioningSite, _LearnedRatio] = {}
         self._overdue_ratios: dict[ProvisioningSite, float] = {}
 
     def record_provisioned(self, machine_type: MachineType, zone: str, took_s: float, now: float) -> None:
-        """A machine came up after so many seconds."""
+        """Record that a machine came up after `took_s` seconds."""
         self._learn(machine_type, zone, took_s / max(machine_type.boot_s, 1.0), now)
 
     def record_failure(self, machine_type: MachineType, zone: str, now: float) -> None:
-        """A machine was given up on."""
-        self._learn(machine_type, zone, FAILED, now)
+        """Record that a machine never came up."""
+        self._learn(machine_type, zone, FAILURE_RATIO, now)
 
     def _learn(self, machine_type: MachineType, zone: str, ratio: float, now: float) -> None:
         site = ProvisioningSite(machine_type.name, zone)
-        known = self._learned.setdefault(site, _Learned(now))
-        before = self._ratio(site, machine_type, now)
-        known.ratio = before + WEIGHT * (min(ratio, LONGEST) - before)
-        known.at = now
+        learned = self._learned.setdefault(site, _LearnedRatio(now))
+        previous_ratio = self._ratio(site, machine_type, now)
+        learned.ratio = previous_ratio + SAMPLE_WEIGHT * (min(ratio, MAX_RATIO) - previous_ratio)
+        learned.updated_at = now
 
-    def begin_scan(self) -> None:
-        """The machines that are starting are looked at anew."""
+    def clear_overdue(self) -> None:
+        """Forget the overdue machines, before all starting machines are recorded anew."""
         self._overdue_ratios.clear()
 
     def record_still_starting(self, machine_type: MachineType, zone: str, age_s: float) -> None:
-        """A machine has been starting for so long: one that is overdue tells of the others there before it is up."""
+        """Record that a machine has been starting for `age_s` seconds.
+
+        An overdue machine raises the expected time of its type and zone before it is up.
+        """
         ratio = age_s / max(machine_type.boot_s, 1.0)
-        if ratio > OVERDUE:
+        if ratio > OVERDUE_RATIO:
             site = ProvisioningSite(machine_type.name, zone)
-            self._overdue_ratios[site] = max(self._overdue_ratios.get(site, 0.0), min(ratio, LONGEST))
+            self._overdue_ratios[site] = max(self._overdue_ratios.get(site, 0.0), min(ratio, MAX_RATIO))
 
     def _ratio(self, site: ProvisioningSite, machine_type: MachineType, now: float) -> float:
-        known = self._learned.get(site)
-        if known is None:
+        learned = self._learned.get(site)
+        if learned is None:
             return 1.0
-        left = math.exp(-max(0.0, now - known.at) / (MEMORY_BOOTS * max(machine_type.boot_s, 1.0)))
-        return 1.0 + left * (known.ratio - 1.0)
+        remaining_share = math.exp(-max(0.0, now - learned.updated_at) / (DECAY_BOOTS * max(machine_type.boot_s, 1.0)))
+        return 1.0 + remaining_share * (learned.ratio - 1.0)
 
     def expected_s(self, machine_type: MachineType, zone: str, now: float) -> float:
-        """Seconds that a machine rented now should take to come up."""
+        """Return the seconds after which a machine that is rented now is expected to be up."""
         site = ProvisioningSite(machine_type.name, zone)
         return machine_type.boot_s * max(self._ratio(site, machine_type, now), self._overdue_ratios.get(site, 0.0))
--- a/tealhook/fleet/releasing.py
+++ b/tealhook/fleet/releasing.py
@@ -1,4 +1,4 @@
-"""Releases: of drained machines, and to fence machines whose tasks must be known to be off."""
+"""Releases of drained machines, and of machines that are fenced: their tasks must be known to have ended."""
 
 from __future__ import annotations
 
@@ -12,31 +12,34 @@
 
 log = logging.getLogger(__name__)
 
-DEAD_BOOT = 4.0  # times the usual boot time: from then on it is released
+ABANDONED_BOOT_RATIO = 4.0  # A machine that is not up after this multiple of its boot time is released.
 
 
 class Releasing(MachineListing):
-    """Releases what is to be fenced, and finds the machines that have to be."""
+    """Releases machines, and detects those that must be released."""
 
     def _reset(self) -> None:
         super()._reset()
-        self._releasing: set[str] = set()
+        self._releases_in_flight: set[str] = set()
 
     def fence(self, machines: list[str]) -> None:
-        """A team's owner needs to know that the tasks on these machines are off."""
+        """Release machines, for a team's owner that must know that their tasks have ended."""
         if self._token is None:
             return
         for name in machines:
             if name in self._released_at:
                 self._on_released([name])
             else:
-                self._fences.setdefault(name, self._effects.now())
+                self._pending_releases.setdefault(name, self._effects.now())
         self._release(self._effects.now())
 
     def _release(self, now: float) -> None:
-        """Release the machines to be fenced, as many as one request holds, if the cloud may be called now."""
-        names = [name for name in self._fences if name not in self._releasing][: wire.MAX_RELEASED_AT_ONCE]
-        # Requests to fence come one by one from all teams, hundreds when a zone is silent: the list must not starve.
+        """Release pending machines, as many as fit one request, if the cloud may be called now."""
+        names = [name for name in self._pending_releases if name not in self._releases_in_flight][
+            : wire.MAX_RELEASED_AT_ONCE
+        ]
+        # All teams request releases one by one, hundreds of them when a zone is silent. A token is kept for the machine
+        # list, so that they don't starve it.
         keep = 1.0 if self._is_listing or now - self._listed_at > self._list_lag_s * self._page_count else 0.0
         if (
             not names
@@ -47,44 +50,46 @@
             return
         if not self._bucket.take(1, now, keep):
             return
-        self._releasing.update(names)
+        self._releases_in_flight.update(names)
 
-        def answer(status: int | None, _body: bytes) -> None:
+        def on_answer(status: int | None, _body: bytes) -> None:
             self._calls_in_flight -= 1
-            self._releasing.difference_update(names)
+            self._releases_in_flight.difference_update(names)
             if status != 200:
                 return
-            log.info("released %s", ", ".join(names))
+            log.info("fleet: released machines %s", ", ".join(names))
             for name in names:
-                self._fences.pop(name, None)
+                self._pending_releases.pop(name, None)
                 self._machines.pop(name, None)
                 self._released_at[name] = self._effects.now()
             self._on_released(names)
 
-        self._call("POST", "/rentals/release", encode_json({"boxes": names}), answer)
+        self._call("POST", "/rentals/release", encode_json({"boxes": names}), on_answer)
 
     def _watch_health(self, states: dict[str, mesh_wire.MachineState], zones: set[str], now: float) -> None:
-        """Fence machines that are silent, taken back, or never came up."""
+        """Request the release of machines that are silent, were taken back by the cloud, or never came up."""
         fence_s = self._policy.value("fence_s")
         for machine in self._machines.values():
             state = states.get(machine.name)
             if state is not None or machine.zone not in zones:
-                # An owner that is cut off, crashed or new tells of no machine: that says nothing of the machine.
+                # A partition's owner that is cut off, has crashed or is new reports no machines. That says nothing
+                # about the machines, so only time during which the owner reports others counts.
                 machine.reported_at = now
             if state is not None:
                 if machine.status == wire.MachineStatus.STARTING:
                     self._on_provisioned(machine, now)
-                lost = self._is_silent(machine, state, fence_s)
+                must_release = self._must_release_reported(machine, state, fence_s)
             else:
-                lost = self._is_missing(machine, now)
-            if lost:
-                self._fences.setdefault(machine.name, now)
+                must_release = self._must_release_unreported(machine, now)
+            if must_release:
+                self._pending_releases.setdefault(machine.name, now)
 
-    def _is_silent(self, machine: RentedMachine, state: mesh_wire.MachineState, fence_s: float) -> bool:
-        """Whether a machine that its partition's owner reports is to be released.
+    def _must_release_reported(self, machine: RentedMachine, state: mesh_wire.MachineState, fence_s: float) -> bool:
+        """Check whether a machine that its partition's owner reports must be released.
 
-        Silent and no longer listed, or after a notice: very likely taken back; the release makes it certain. One with
-        a notice that holds nothing any more is paid for in vain.
+        A silent machine that is no longer listed, or that the cloud gave notice to take back, has very likely been
+        taken back, so it is released after a shorter silence to make that certain. A machine with a notice that is
+        drained is released at once: it is of no more use, but still paid for.
         """
         workers = self._settings.params.workers
         silence_s = fence_s + workers.lease_s
@@ -94,29 +99,29 @@
             silence_s = 2 * workers.report_s
         return state.heartbeat_age_s > silence_s or (state.terminating and state.drained)
 
-    def _is_missing(self, machine: RentedMachine, now: float) -> bool:
-        """Whether a machine that no partition's owner reports is to be released."""
+    def _must_release_unreported(self, machine: RentedMachine, now: float) -> bool:
+        """Check whether a machine that no partition's owner reports must be released."""
         lease_s = self._settings.params.workers.lease_s
         machine_type = self._machine_types.get(machine.machine_type)
         boot_s = machine_type.boot_s if machine_type else lease_s
         if (
             machine.status == wire.MachineStatus.STARTING
-            and now - machine.requested_at > DEAD_BOOT * boot_s + self._list_lag_s
+            and now - machine.requested_at > ABANDONED_BOOT_RATIO * boot_s + self._list_lag_s
         ):
-            log.info("%s never came up", machine.name)
-            if machine_type is not None and machine.name not in self._fences:
+            log.info("fleet: machine %s never came up, releasing it", machine.name)
+            if machine_type is not None and machine.name not in self._pending_releases:
                 self._provisioning.record_failure(machine_type, machine.zone, now)
             return True
         if (
             machine.missing_since is not None
             and now - max(machine.missing_since, machine.reported_at) > self._list_lag_s
         ):
-            # Taken while its partition changed owners, so that the new one never hears of it.
+            # The cloud took the machine back while its partition changed owners: the new owner never hears of it.
             return True
         if (
             machine.status == wire.MachineStatus.RUNNING
             and now - max(machine.up_at, machine.reported_at, self._owned_since) > 4 * lease_s
         ):
-            log.info("%s runs, but its worker does not report", machine.name)
+            log.info("fleet: machine %s is running, but its worker does not report; releasing it", machine.name)
             return True
         return False
--- a/tealhook/fleet/sizing.py
+++ b/tealhook/fleet/sizing.py
@@ -1,19 +1,19 @@
-"""How many CPUs the fleet has, and how many are wanted: figures alone, nothing is asked of anybody here."""
+"""Supply of and need for CPUs, and the shortages that follow from them: calculations only, without any calls."""
 
 from __future__ import annotations
 
 from dataclasses import dataclass, field
 
-from tealhook.fleet.demand import DemandHistory, Horizon, NonSpotDemand, backlog_cpus, machine_cpus
+from tealhook.fleet.demand import DemandHistory, Horizon, NonSpotDemand, backlog_cpus, whole_machine_cpus
 from tealhook.wire.cloud import MachineType
 from tealhook.wire.mesh import Demand, MachineState, TeamUsage
 
-GOING_ON = 0.75  # of the CPUs taken now that stay taken over the horizon
+CONTINUING_USE_SHARE = 0.75  # share of the CPUs in use now that stays in use over the planning horizon
 
 
 @dataclass
 class FleetView:
-    """What all nodes tell: machines by name, what runs, what waits."""
+    """The machines by name, and the running and waiting tasks, as gossiped by all nodes."""
 
     machine_states: dict[str, MachineState] = field(default_factory=dict)
     usage: list[TeamUsage] = field(default_factory=list)
@@ -23,26 +23,26 @@
 
 @dataclass
 class Supply:
-    """CPUs of the machines that count."""
+    """CPUs of the machines that can be relied on."""
 
     up_cpus: float = 0.0
     starting_cpus: float = 0.0
     spot_cpus: float = 0.0
-    free_non_spot_cpus: float = 0.0  # free ones of ordinary machines
-    non_spot_cpus: float = 0.0  # all of ordinary machines
+    free_on_demand_cpus: float = 0.0  # unused CPUs of on-demand machines
+    on_demand_cpus: float = 0.0  # all CPUs of on-demand machines
 
     @property
     def total_cpus(self) -> float:
-        """CPUs that are up or on their way."""
+        """CPUs that are up or starting."""
         return self.up_cpus + self.starting_cpus
 
 
 @dataclass
 class CapacityNeed:
-    """CPUs that are taken, and those that would work off in time what waits."""
+    """CPUs in use, and CPUs that finish the waiting work within its horizon."""
 
-    non_spot_demand: list[Demand]  # what may not use spot machines
-    non_spot_cpus: float  # of ordinary machines, for what may use no others
+    non_spot_demand: list[Demand]  # waiting tasks that may not use spot machines
+    on_demand_cpus: float  # of on-demand machines, for tasks that may not use spot machines
     used_cpus: float
     urgent_cpus: float
     waiting_cpus: float
@@ -50,7 +50,7 @@
 
 @dataclass
 class Shortage:
-    """CPUs to be rented: `urgent_cpus` of them even on dear machines; `demand` decides which kinds are of use."""
+    """CPUs to be rented, `urgent_cpus` of them even on expensive machines; `demand` decides which are usable."""
 
     missing_cpus: float
     urgent_cpus: float
@@ -58,15 +58,17 @@
 
 
 def estimate_need(machine_types: dict[str, MachineType], view: FleetView, horizon: Horizon) -> CapacityNeed:
-    """What the work needs that runs and waits."""
-    # Ordinary machines for what may use no others, also before the jobs that it waits for are done. Others' tasks
-    # on them yield to it, so what counts is how many there are, not how many are free.
-    steady = [item for item in view.demand if not item.requirements.allows_spot]
-    kept = sum(machine_cpus(machine_types, item) for item in view.non_spot.placed)
-    kept += sum(backlog_cpus(machine_types, item, horizon) for item in [*view.non_spot.blocked, *steady])
+    """Return the CPUs that running and waiting work needs."""
+    # On-demand machines for tasks that may not use spot machines are needed even before the jobs that they wait for
+    # are done. Other tasks on these machines yield to them, so all of their CPUs count, not only the unused ones.
+    non_spot_demand = [item for item in view.demand if not item.requirements.allows_spot]
+    on_demand_cpus = sum(whole_machine_cpus(machine_types, item) for item in view.non_spot.placed)
+    on_demand_cpus += sum(
+        backlog_cpus(machine_types, item, horizon) for item in [*view.non_spot.blocked, *non_spot_demand]
+    )
     return CapacityNeed(
-        steady,
-        kept,
+        non_spot_demand,
+        on_demand_cpus,
         used_cpus=sum(item.cpus for item in view.usage),
         urgent_cpus=sum(item.urgent_cpus for item in view.usage),
         waiting_cpus=sum(backlog_cpus(machine_types, item, horizon) for item in view.demand),
@@ -74,9 +76,9 @@
 
 
 def urgent_backlog_cpus(machine_types: dict[str, MachineType], demand: list[Demand], horizon: Horizon) -> float:
-    """CPUs without which waiting work would miss its objectives: they are worth a dear machine.
+    """Return the CPUs without which waiting work would miss its objectives, worth renting on expensive machines.
 
-    The rest of what is asked for is capacity to be early; that pays only where machines are cheap.
+    The rest of the need is for finishing work earlier than that, which is worth renting only cheap machines.
     """
     return sum(backlog_cpus(machine_types, item, horizon, late=item.requirements.allows_spot) for item in demand)
 
@@ -87,31 +89,39 @@
     horizon: Horizon,
     need: CapacityNeed,
     supply: Supply,
-    ready: float,
+    ready_cpus: float,
     history: DemandHistory,
 ) -> list[Shortage]:
-    """What is wanted beyond what is up and coming, in the order in which it is to be rented.
+    """Return the CPUs that are needed beyond the supply, in the order in which they should be rented.
 
-    `ready`: CPUs that are to be up or coming whatever is taken.
+    `ready_cpus`: CPUs to be kept up or starting, whether they are used or not.
     """
-    lasting = min(history.lasting_wait, need.waiting_cpus)
-    # What is taken now frees within the horizon too: only part of it goes on, and what usually comes.
-    going_on = max(history.mean, GOING_ON * need.used_cpus)
-    target = max(ready, going_on + need.waiting_cpus if lasting > 0 else 0.0)
-    missing = target - supply.up_cpus - supply.starting_cpus
-    urgent = max(ready, going_on + urgent_backlog_cpus(machine_types, view.demand, horizon) if lasting > 0 else 0.0)
-    urgent_missing = urgent - supply.up_cpus - supply.starting_cpus
-    if lasting > 0 and not supply.starting_cpus:
-        # What is up can't serve it: its capacity is of the wrong kind or fragmented.
-        missing, urgent_missing = max(missing, 1.0), max(urgent_missing, 1.0)
-    # What may not go to spot machines has the others to itself, and is not helped by spot machines.
-    short = sum(backlog_cpus(machine_types, item, horizon) for item in need.non_spot_demand) - supply.free_non_spot_cpus
-    found: list[Shortage] = []
-    if short > 0 and lasting > 0:
-        found.append(Shortage(short, short, need.non_spot_demand))
-    if need.non_spot_cpus > supply.non_spot_cpus:
-        ahead = need.non_spot_cpus - supply.non_spot_cpus
-        found.append(Shortage(ahead, ahead, [*view.non_spot.blocked, *need.non_spot_demand]))
-    if missing > 0:
-        found.append(Shortage(missing, urgent_missing, view.demand))
-    return found
+    persistent_cpus = min(history.persistent_backlog_cpus, need.waiting_cpus)
+    # CPUs in use become free within the horizon too. Only a share of them stays in use, or the mean use if that is
+    # more: it stands for the work that usually arrives.
+    continuing_cpus = max(history.mean_cpus, CONTINUING_USE_SHARE * need.used_cpus)
+    target_cpus = max(ready_cpus, continuing_cpus + need.waiting_cpus if persistent_cpus > 0 else 0.0)
+    missing_cpus = target_cpus - supply.up_cpus - supply.starting_cpus
+    urgent_target_cpus = max(
+        ready_cpus,
+        continuing_cpus + urgent_backlog_cpus(machine_types, view.demand, horizon) if persistent_cpus > 0 else 0.0,
+    )
+    urgent_missing_cpus = urgent_target_cpus - supply.up_cpus - supply.starting_cpus
+    if persistent_cpus > 0 and not supply.starting_cpus:
+        # The machines that are up can't serve the backlog: their capacity is unsuitable or fragmented.
+        missing_cpus, urgent_missing_cpus = max(missing_cpus, 1.0), max(urgent_missing_cpus, 1.0)
+    # Spot machines don't help demand that may not use them, and on-demand machines are counted for it alone.
+    missing_non_spot_cpus = (
+        sum(backlog_cpus(machine_types, item, horizon) for item in need.non_spot_demand) - supply.free_on_demand_cpus
+    )
+    shortages: list[Shortage] = []
+    if missing_non_spot_cpus > 0 and persistent_cpus > 0:
+        shortages.append(Shortage(missing_non_spot_cpus, missing_non_spot_cpus, need.non_spot_demand))
+    if need.on_demand_cpus > supply.on_demand_cpus:
+        missing_on_demand_cpus = need.on_demand_cpus - supply.on_demand_cpus
+        shortages.append(
+            Shortage(missing_on_demand_cpus, missing_on_demand_cpus, [*view.non_spot.blocked, *need.non_spot_demand])
+        )
+    if missing_cpus > 0:
+        shortages.append(Shortage(missing_cpus, urgent_missing_cpus, view.demand))
+    return shortages
--- a/tealhook/placement/__init__.py
+++ b/tealhook/placement/__init__.py
@@ -1,4 +1,4 @@
-"""Placement: run-time estimates, the feedback factor and min-min. Pure functions and small values, no I/O."""
+"""Placement of tasks on partitions: finish estimates, the feedback factor and min-min scheduling, without any I/O."""
 
 from tealhook.placement.feedback import Feedback, PlacementEstimate
 from tealhook.placement.minmin import NO_CAPACITY_S, PartitionView, PlacementChoice, TaskGroup, plan_cycle
--- a/tealhook/placement/minmin.py
+++ b/tealhook/placement/minmin.py
@@ -1,9 +1,9 @@
-"""The scheduling cycle's plan: cloud min-min over groups of equal tasks and partitions.
+"""Min-min scheduling of groups of equal tasks on partitions.
 
-The paper's Algorithm 3 takes, again and again, the pair of mappable task and cloud with the earliest
-estimated finish. Tasks of one job with equal requirements are one group here, so a step assigns as many of them as
-the partition can start at that same estimate, and a cycle costs groups x partitions rather than tasks x partitions.
-Ranks (priority, guarantee) come before min-min's order; within a rank it is min-min.
+The paper's Algorithm 3 repeatedly takes the pair of a mappable task and a cloud with the earliest estimated finish.
+Here the tasks of one job with equal requirements form a group. Each step places as many tasks of a group as the
+partition can start with that same estimate, so a cycle costs groups x partitions rather than tasks x partitions.
+Groups are served by rank (priority, guarantee); min-min decides among groups of the same rank.
 """
 
 from __future__ import annotations
@@ -13,16 +13,16 @@
 
 from tealhook.placement.feedback import MIN_ESTIMATE_S
 
-NO_CAPACITY_S = 1e8  # a partition whose next capacity is this far off will have none
-MAX_CHOICES = 64  # of one plan: what is planned later would rest on stale answers anyway
-ROUND_UP = 0.999  # added before truncation: part of a task takes the capacity of a whole one
+NO_CAPACITY_S = 1e8  # A partition whose next capacity is at least this many seconds away counts as having none.
+MAX_CHOICES = 64  # Choices beyond this would be based on replies of the partitions that are stale by then.
+ROUND_UP_OFFSET = 0.999  # Added before truncation: a fraction of a task takes the capacity of a whole task.
 
 
 @dataclass(slots=True)
 class PartitionView:
-    """A partition's capacity for one group, and what is left of it as the plan goes on.
+    """The capacity of a partition for one group, reduced as the cycle is planned.
 
-    `cached`, `uncached`: tasks that can start at once, on machines that have the image and on those that lack it.
+    `cached` and `uncached` count the tasks that can start at once, on machines with and without the image.
     """
 
     cached: int
@@ -34,25 +34,25 @@
 
 @dataclass(slots=True)
 class TaskGroup:
-    """Mappable tasks of one job."""
+    """Mappable tasks of one job with equal requirements."""
 
     job: str
     count: int
-    rank: tuple[float, ...]  # compared item by item; the lowest is served first
+    rank: tuple[float, ...]  # compared item by item; the lowest rank is served first
     image_gb: float
     run_s: float
-    resources: tuple[float, float, float]
+    resources: tuple[float, float, float]  # of one task: CPUs, GPUs, GB of memory
     partitions: dict[str, PartitionView]  # by zone
     starving: bool = False
     can_preempt: bool = False
-    zone_limits: dict[str, int] = field(default_factory=dict)  # zone -> most tasks that may still go there
+    zone_limits: dict[str, int] = field(default_factory=dict)  # zone -> tasks that may still be placed there
 
 
 @dataclass(slots=True)
 class PlacementChoice:
-    """`count` tasks of a group for one partition.
+    """The decision to place `count` tasks of a group on the partition of a zone.
 
-    `awaits_capacity`: nothing can start there yet; capacity is reserved for them as it becomes free.
+    With `awaits_capacity`, the tasks can't start yet: capacity is reserved for them when it becomes free.
     """
 
     group: TaskGroup
@@ -63,12 +63,12 @@
 
 
 def estimate_finish_s(view: PartitionView, group: TaskGroup, free_s: float, fetch_s: float) -> float:
-    """Earliest free time plus (1 + factor) x (fetch + run): the paper's equation 8."""
+    """Return the seconds until a task would finish: free + (1 + factor) x (fetch + run), the paper's equation 8."""
     return free_s + (1.0 + view.feedback_factor) * max(MIN_ESTIMATE_S, fetch_s + group.run_s)
 
 
 def _choose_free(group: TaskGroup, zone: str) -> PlacementChoice | None:
-    """The tasks of a group that would finish earliest on what is free in a partition now, if anything is."""
+    """Return the choice of capacity that is free in a partition now, cached images first; None if there is none."""
     view = group.partitions[zone]
     allowed = group.zone_limits.get(zone, group.count)
     if allowed <= 0:
@@ -84,7 +84,7 @@
 
 
 def _choose_next_free(group: TaskGroup, zone: str) -> PlacementChoice | None:
-    """All tasks of a group, for the next capacity that a partition will have, if any is in sight."""
+    """Return the choice to await the next capacity of a partition with the whole group; None if none is expected."""
     view = group.partitions[zone]
     if view.next_free_s >= NO_CAPACITY_S or group.zone_limits.get(zone, group.count) <= 0:
         return None
@@ -94,11 +94,12 @@
 
 
 def _choose_partition(group: TaskGroup) -> PlacementChoice | None:
-    """The partition where tasks of a group would finish earliest; of equal ones, the first by zone."""
+    """Return the choice of the partition where a group would finish earliest; ties go to the first zone by name."""
     best: PlacementChoice | None = None
     free = {zone: _choose_free(group, zone) for zone in sorted(group.partitions)}
-    # To reserve capacity or to preempt for it makes sense only where none is free anywhere: when a partition's next
-    # capacity is free is an estimate, and a job's last task once waited minutes for some that was always about to be.
+    # A starving or preempting group awaits capacity only if none is free in any partition: the time of a partition's
+    # next capacity is an estimate, and a job's last task once waited for minutes for capacity that was always
+    # expected to be free soon.
     only_free = (group.starving or group.can_preempt) and any(free.values())
     for zone, choice in free.items():
         if choice is None and not only_free:
@@ -109,7 +110,7 @@
 
 
 def _consume(view: PartitionView, count: int, cached_first: bool) -> None:
-    """Take the capacity of `count` tasks off a view."""
+    """Subtract the capacity of `count` tasks from a view."""
     if cached_first:
         taken = min(count, view.cached)
         view.cached -= taken
@@ -121,16 +122,16 @@
 
 
 def _equivalent_count(chosen: TaskGroup, count: int, other: TaskGroup) -> int:
-    """The capacity of `count` tasks of one group, in tasks of another."""
+    """Return the number of tasks of `other` that take the capacity of `count` tasks of `chosen`."""
     ratio = max(
-        (ours / theirs for ours, theirs in zip(chosen.resources, other.resources, strict=True) if theirs > 0),
+        (needed / per_task for needed, per_task in zip(chosen.resources, other.resources, strict=True) if per_task > 0),
         default=0.0,
     )
-    return int(count * ratio + ROUND_UP)
+    return int(count * ratio + ROUND_UP_OFFSET)
 
 
-def _apply(choice: PlacementChoice, groups: list[TaskGroup]) -> None:
-    """Count a choice of free capacity against what every group believes of that partition."""
+def _apply_free(choice: PlacementChoice, groups: list[TaskGroup]) -> None:
+    """Subtract a choice of free capacity from the group and from every group's view of the partition."""
     group, zone, count = choice.group, choice.zone, choice.count
     was_cached = group.partitions[zone].cached > 0
     for other in groups:
@@ -147,11 +148,11 @@
 
 
 def _apply_awaited(choice: PlacementChoice, groups: list[TaskGroup]) -> bool:
-    """Count a choice of capacity that is not free yet; returns whether its group has nothing more to place.
+    """Apply a choice that awaits capacity, and return whether its group has nothing more to place.
 
-    Nothing of this group can start where it would finish first: one task waits for the partition's next capacity, which
-    is taken from then on. This guards against every group waiting for that same capacity with all of its tasks, while
-    other capacity is free.
+    Only one task of the group awaits the partition's next capacity, and no other group may await it then. Otherwise
+    every group would wait for that same capacity with all of its tasks, while other capacity is free. The exception is
+    a starving or preempting group: it awaits with all of its tasks, and is planned no further.
     """
     group = choice.group
     if group.starving or group.can_preempt:
@@ -167,7 +168,10 @@
 
 
 def _earliest(choices: Iterable[PlacementChoice | None]) -> PlacementChoice | None:
-    """The choice with the earliest estimated finish; equal ones go by job and zone, so that runs can be repeated."""
+    """Return the choice with the earliest estimated finish.
+
+    Ties are broken by job and zone, so that runs are reproducible.
+    """
     return min(
         (choice for choice in choices if choice is not None),
         key=lambda choice: (choice.finish_s, choice.group.job, choice.zone),
@@ -176,7 +180,7 @@
 
 
 def plan_cycle(groups: list[TaskGroup], max_choices: int = MAX_CHOICES) -> list[PlacementChoice]:
-    """Choices in the order in which they were made; at most `max_choices` of them."""
+    """Return the choices of a scheduling cycle in the order in which they are made, at most `max_choices`."""
     choices: list[PlacementChoice] = []
     for rank in sorted({group.rank for group in groups}):
         open_groups = [group for group in groups if group.rank == rank and group.count > 0]
@@ -188,7 +192,7 @@
             if best.awaits_capacity:
                 exhausted = _apply_awaited(best, groups)
             else:
-                _apply(best, groups)
+                _apply_free(best, groups)
                 exhausted = best.group.count <= 0
             if exhausted:
                 open_groups.remove(best.group)
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -74,7 +74,7 @@
         name: mesh.MachineState(name, "small", True, 4.0, left, 0.0, False, False, False)
         for name, left in empty_s.items()
     }
-    fleet._drain(states, spare_cpus, False, world.nodes["n0"].context.policy.variables(), now)
+    fleet._drain_machines(states, spare_cpus, False, world.nodes["n0"].context.policy.variables(), now)
     return [name for body in sent if isinstance(body, mesh.DrainRequest) for name in body.machines]
 
 
@@ -220,7 +220,7 @@
     for keep in (0.0, 8.0, 24.0):
         sent.clear()
         fleet._surplus_samples.clear()
-        fleet._drain(states, 24.0, keep, world.nodes["n0"].context.policy.variables(), now)
+        fleet._drain_machines(states, 24.0, keep, world.nodes["n0"].context.policy.variables(), now)
         drained = {name for body in sent if isinstance(body, mesh.DrainRequest) for name in body.machines}
         kept.append(3 - len(drained))
     assert kept == [0, 1, 3]
--- a/tests/test_machine_type_records.py
+++ b/tests/test_machine_type_records.py
@@ -17,10 +17,10 @@
     MachineTypesRecord,
     MachineTypeStore,
     StoredMachineTypes,
-    first_transaction,
-    further_key,
+    continuation_key,
     plan_changes,
     split_types,
+    take_transaction,
 )
 from tealhook.state_store import CallPriority, Outcome, TransactionResult
 from tealhook.wire import state as state_wire
@@ -75,21 +75,21 @@
 
 @pytest.mark.parametrize("txn_ops", [1, 2, 5, 16])
 def test_transactions_keep_operation_and_size_limits(txn_ops):
-    rows = [state_wire.KeyValue(further_key(n), {"rigs": []}, 7) for n in (1, 2, 5)] + [
+    rows = [state_wire.KeyValue(continuation_key(n), {"rigs": []}, 7) for n in (1, 2, 5)] + [
         state_wire.KeyValue(TYPES, {}, 9)
     ]
     changes = plan_changes(StoredMachineTypes.from_items(rows), _types(600), 8192)
     groups, rest = [], changes
     while rest:
-        group, rest = first_transaction(rest, txn_ops)
+        group, rest = take_transaction(rest, txn_ops)
         groups.append(group)
     assert [change for group in groups for change in group] == changes
     assert all(len(group) <= txn_ops for group in groups)
     assert all(len(encode_json([change.operation for change in group])) < 60 * 1024 for group in groups)
     assert [change.key for change in changes[:2]] == [
-        further_key(n) for n in (6, 7)
+        continuation_key(n) for n in (6, 7)
     ]  # free numbers, one after the other
-    assert [change.key for change in changes[-4:]] == [TYPES, *map(further_key, (1, 2, 5))]
+    assert [change.key for change in changes[-4:]] == [TYPES, *map(continuation_key, (1, 2, 5))]
 
 
 # -- any order in which transactions may be carried out
--- a/tests/test_machine_types.py
+++ b/tests/test_machine_types.py
@@ -77,7 +77,7 @@
     def store_types(*_args: Any) -> None:
         def done(result: TransactionResult) -> None:
             if result.outcome is Outcome.COMMITTED:
-                fleet._stored_types = {
+                fleet._stored_signatures = {
                     (kind.name, kind.vcpus, kind.memory_gb, tuple(kind.zones)) for kind in fleet._machine_types.values()
                 }
 
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -28,7 +28,7 @@
     assert factor.factor == pytest.approx(0.5)
     factor.decay(300.0, 10.0)
     assert factor.factor == 0.0
-    assert PlacementEstimate(0.0, 0.0, 0.1).estimate == 1.0  # floored at one second
+    assert PlacementEstimate(0.0, 0.0, 0.1).duration_s == 1.0  # floored at one second
 
 
 def test_finish_counts_free_time_fetch_run_and_factor():
--- a/tests/test_provisioning_times.py
+++ b/tests/test_provisioning_times.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from tealhook.fleet.provisioning import MEMORY_BOOTS, ProvisioningTimes
+from tealhook.fleet.provisioning import DECAY_BOOTS, ProvisioningTimes
 from tealhook.wire.cloud import MachineType
 from tests.simulated_cluster import SimulatedCluster
 from tests.user_requests import UNIFORM_JOB
@@ -20,7 +20,7 @@
         boots.record_provisioned(MACHINE_TYPE, "za", 4 * READY_S, float(i))
     late_s = boots.expected_s(MACHINE_TYPE, "za", 8.0)
     assert 3.5 * READY_S < late_s < 4 * READY_S and boots.expected_s(MACHINE_TYPE, "zb", 8.0) == READY_S
-    assert boots.expected_s(MACHINE_TYPE, "za", 8.0 + 3 * MEMORY_BOOTS * READY_S) < 1.2 * READY_S
+    assert boots.expected_s(MACHINE_TYPE, "za", 8.0 + 3 * DECAY_BOOTS * READY_S) < 1.2 * READY_S
     for i in range(8):
         boots.record_provisioned(MACHINE_TYPE, "za", READY_S, 10.0 + i)
     assert boots.expected_s(MACHINE_TYPE, "za", 18.0) < 1.25 * READY_S
@@ -32,7 +32,7 @@
     assert boots.expected_s(MACHINE_TYPE, "za", 0.0) == READY_S
     boots.record_still_starting(MACHINE_TYPE, "za", 3.0 * READY_S)
     assert boots.expected_s(MACHINE_TYPE, "za", 0.0) == pytest.approx(3.0 * READY_S)
-    boots.begin_scan()
+    boots.clear_overdue()
     assert boots.expected_s(MACHINE_TYPE, "za", 0.0) == READY_S
 
 
