--- a/tests/test_machine_type_records.py
+++ b/tests/test_machine_type_records.py
@@ -1,4 +1,4 @@
-"""Records of machine types keep to the limits of values and transactions, in whatever order those apply."""
+"""Records of machine types: limits of values and transactions, and consistency under any order of execution."""
 
 from __future__ import annotations
 
@@ -42,22 +42,22 @@
     return 1
 
 
-@pytest.mark.parametrize("most_bytes", [400, 717, 2048, 8192])
+@pytest.mark.parametrize("max_bytes", [400, 717, 2048, 8192])
 @pytest.mark.parametrize("count", [1, 3, 11, 30, 200])
-def test_records_keep_size_limit_and_first_is_filled(count, most_bytes):
+def test_records_keep_size_limit_and_first_is_filled(count, max_bytes):
     types = _types(count)
-    first, *others = split_types(types, most_bytes, _from_one)
+    first, *others = split_types(types, max_bytes, _from_one)
     assert (first.more, first.more_from) == (len(others), 1)
     assert [machine_type for record in (first, *others) for machine_type in record.machine_types] == types
-    assert all(record.machine_types and len(encode_json(record)) <= most_bytes for record in (first, *others))
+    assert all(record.machine_types and len(encode_json(record)) <= max_bytes for record in (first, *others))
     if others:
-        more = MachineTypesRecord([*first.machine_types, others[0].machine_types[0]], first.more)
-        assert len(encode_json(more)) > most_bytes
-        assert len(encode_json(MachineTypesRecord(types))) > most_bytes
+        overfilled = MachineTypesRecord([*first.machine_types, others[0].machine_types[0]], first.more)
+        assert len(encode_json(overfilled)) > max_bytes
+        assert len(encode_json(MachineTypesRecord(types))) > max_bytes
 
 
 def test_production_reads_first_of_several_records():
-    """Its reader takes `rigs` of `fleet/types` and ignores other fields."""
+    """The reader of the version in production takes `rigs` of `fleet/types` and ignores other fields."""
     first = split_types(_types(30), 717, lambda _count: 7)[0]
     assert (first.more, first.more_from) != (0, 1)
     assert msgspec.convert(msgspec.to_builtins(first), MachineTypes).machine_types == first.machine_types
@@ -86,17 +86,15 @@
     assert [change for group in groups for change in group] == changes
     assert all(len(group) <= txn_ops for group in groups)
     assert all(len(encode_json([change.operation for change in group])) < 60 * 1024 for group in groups)
-    assert [change.key for change in changes[:2]] == [
-        continuation_key(n) for n in (6, 7)
-    ]  # free numbers, one after the other
+    assert [change.key for change in changes[:2]] == [continuation_key(n) for n in (6, 7)]  # consecutive free numbers
     assert [change.key for change in changes[-4:]] == [MACHINE_TYPES_KEY, *map(continuation_key, (1, 2, 5))]
 
 
-# -- any order in which transactions may be carried out
+# -- random order of execution
 
 
-class _Service:
-    """A state service that carries some transactions out late, and tells nothing of some."""
+class _FaultyStateStore:
+    """A state store that executes some transactions late, and gives no answer to some."""
 
     value_bytes, max_operations = 717, 2
 
@@ -104,35 +102,36 @@
         self.rng, self.check = rng, check
         self.rows: dict[str, tuple[Any, int]] = {FLEET_KEY: ({"n": "n0"}, 1)}
         self.revision = 1
-        self.late: list[tuple[dict, list]] = []
+        self.late_transactions: list[tuple[dict, list]] = []
         self.fault_share = 0.5
 
     def list(self, prefix: str, done: Callable, **_how: Any) -> None:
         rows = [state_wire.KeyValue(key, *row) for key, row in sorted(self.rows.items()) if key.startswith(prefix)]
         done(rows, self.revision)
 
-    def transact(self, when: dict, apply: list, _priority: CallPriority, done: Callable) -> None:
-        assert len(apply) <= self.max_operations and len(when) <= 4 * self.max_operations
-        apply = [msgspec.json.decode(encode_json(operation)) for operation in apply]  # as the state service reads them
-        assert all(len(encode_json(op["v"])) <= self.value_bytes for op in apply if "write" in op)
+    def transact(self, conditions: dict, operations: list, _priority: CallPriority, done: Callable) -> None:
+        assert len(operations) <= self.max_operations and len(conditions) <= 4 * self.max_operations
+        # The operations as the state store reads them.
+        operations = [msgspec.json.decode(encode_json(operation)) for operation in operations]
+        assert all(len(encode_json(op["v"])) <= self.value_bytes for op in operations if "write" in op)
         if self.rng.random() < self.fault_share:
-            self.one_comes_late()
+            self.execute_random_late_transaction()
         if self.rng.random() < self.fault_share:
             if self.rng.random() < 0.5:
-                self.carry_out(when, apply)
+                self.execute(conditions, operations)
             else:
-                self.late.append((when, apply))
+                self.late_transactions.append((conditions, operations))
             done(TransactionResult(Outcome.UNKNOWN))
-        elif self.carry_out(when, apply):
+        elif self.execute(conditions, operations):
             done(TransactionResult(Outcome.COMMITTED, revision=self.revision))
         else:
             done(TransactionResult(Outcome.CONFLICTED))
 
-    def carry_out(self, when: dict, apply: list) -> bool:
-        if any(self.rows.get(key, (None, 0))[1] != stamp for key, stamp in when.items()):
+    def execute(self, conditions: dict, operations: list) -> bool:
+        if any(self.rows.get(key, (None, 0))[1] != revision for key, revision in conditions.items()):
             return False
         self.revision += 1
-        for op in apply:
+        for op in operations:
             if "write" in op:
                 self.rows[op["write"]] = (op["v"], self.revision)
             else:
@@ -140,19 +139,19 @@
         self.check()
         return True
 
-    def one_comes_late(self) -> None:
-        if self.late:
-            self.carry_out(*self.late.pop(self.rng.randrange(len(self.late))))
+    def execute_random_late_transaction(self) -> None:
+        if self.late_transactions:
+            self.execute(*self.late_transactions.pop(self.rng.randrange(len(self.late_transactions))))
 
-    def take_over(self) -> int:
-        """Ownership of the fleet passes on; gives the new token."""
+    def change_owner(self) -> int:
+        """Let another node take over the fleet, and return the new fencing token."""
         self.revision += 1
         self.rows[FLEET_KEY] = ({"n": "n0"}, self.revision)
         return self.revision
 
 
-def _stored_names(service: _Service) -> list[str] | None:
-    rows = [state_wire.KeyValue(key, *row) for key, row in service.rows.items()]
+def _stored_names(state_store: _FaultyStateStore) -> list[str] | None:
+    rows = [state_wire.KeyValue(key, *row) for key, row in state_store.rows.items()]
     types = StoredMachineTypes.from_items(rows).machine_types()
     return None if types is None else [machine_type.name for machine_type in types]
 
@@ -164,49 +163,49 @@
 
     def check() -> None:
         names = read()
-        if MACHINE_TYPES_KEY in service.rows:
+        if MACHINE_TYPES_KEY in state_store.rows:
             assert names in offers
-            del offers[: offers.index(names)]  # it never goes back to an earlier one
+            del offers[: offers.index(names)]  # An earlier list never comes back.
         else:
             assert names is None
 
-    service = _Service(rng, check)
-    read = functools.partial(_stored_names, service)
-    store, token, types = MachineTypeStore(service), 1, []
+    state_store = _FaultyStateStore(rng, check)
+    read = functools.partial(_stored_names, state_store)
+    store, token, types = MachineTypeStore(state_store), 1, []
     for step in range(60):
         match rng.randrange(7):
             case 0:
-                token = service.take_over()
-            case 1:  # a node of the version in production owns the fleet
-                token = service.take_over()
+                token = state_store.change_owner()
+            case 1:  # A node of the version in production owns the fleet.
+                token = state_store.change_owner()
                 types = _types(rng.randint(1, 3), f"p{step}")
                 offers.append([machine_type.name for machine_type in types])
-                service.transact(
+                state_store.transact(
                     {FLEET_KEY: token},
                     [state_wire.put(MACHINE_TYPES_KEY, msgspec.to_builtins(MachineTypes(types)))],
                     CallPriority.ADMIT,
                     lambda *_answer: None,
                 )
-                token = service.take_over()
+                token = state_store.change_owner()
             case 2 | 3:
-                service.one_comes_late()
-            case 4:  # an owner that has not heard of the next one
-                stale, token = token, service.take_over()
-                before, told = dict(service.rows), []
-                store.replace(stale, _types(9, f"stale{step}"), told.append)
-                assert told == [False] and service.rows == before
+                state_store.execute_random_late_transaction()
+            case 4:  # A previous owner does not know yet of the next one.
+                stale_token, token = token, state_store.change_owner()
+                before, confirmations = dict(state_store.rows), []
+                store.replace(stale_token, _types(9, f"stale{step}"), confirmations.append)
+                assert confirmations == [False] and state_store.rows == before
             case _:
                 types = _types(rng.choice([1, 4, 9, 22]), f"s{step}")
                 offers.append([machine_type.name for machine_type in types])
-                told: list[bool] = []
-                store.replace(token, types, told.append)
-                assert len(told) == 1
-                if told == [True]:
-                    assert read() == offers[-1] and len(service.rows) == 1 + len(split_types(types, 717, _from_one))
-    service.fault_share = 0.0
+                confirmations: list[bool] = []
+                store.replace(token, types, confirmations.append)
+                assert len(confirmations) == 1
+                if confirmations == [True]:
+                    assert read() == offers[-1] and len(state_store.rows) == 1 + len(split_types(types, 717, _from_one))
+    state_store.fault_share = 0.0
     types = _types(2, "last")
     offers.append([machine_type.name for machine_type in types])
-    store.replace(token, types, lambda certain: None)
-    while service.late:
-        service.one_comes_late()
-    assert read() == offers[-1] and service.rows.keys() == {FLEET_KEY, MACHINE_TYPES_KEY}
+    store.replace(token, types, lambda confirmed: None)
+    while state_store.late_transactions:
+        state_store.execute_random_late_transaction()
+    assert read() == offers[-1] and state_store.rows.keys() == {FLEET_KEY, MACHINE_TYPES_KEY}
--- a/tests/test_machine_types.py
+++ b/tests/test_machine_types.py
@@ -1,7 +1,7 @@
-"""Records of machine types: at any time a starting node reads one complete list that was on offer, or none.
+"""Records of machine types: a starting node always reads a complete list that was on offer, or none.
 
-The list is longer than a value may be, grows and gets shorter; answers are lost, writes come late, owners change, and
-nodes of the version in production own the fleet in between: they know `fleet/types` alone.
+The list is longer than one value may be, and it grows and shrinks. Answers are lost, writes are executed late, owners
+change, and at times nodes of the version in production own the fleet, which only know `fleet/types`.
 """
 
 from __future__ import annotations
@@ -19,8 +19,8 @@
 from tests.simulated_cluster import SimulatedCluster
 from tests.standins import StateService
 
-TIGHT = {"value_kb": 0.7, "txn_ops": 2}  # four types a value, two changes a transaction
-ASKED_S = 40.0  # prices are asked for once in this time at least: eight times the list's lag
+TIGHT_LIMITS = {"value_kb": 0.7, "txn_ops": 2}  # four types per value, two changes per transaction
+TYPES_REFRESH_S = 40.0  # The machine types are fetched at least once in this time; the period is eight list lags.
 Rows = dict[str, tuple[Any, int, int | None]]
 
 
@@ -28,8 +28,8 @@
     return {key: row for key, row in state.rows.items() if key.startswith(MACHINE_TYPES_KEY)}
 
 
-def _starting_node(records: Rows, seconds: float = 2.0) -> list[str]:
-    """The types that a node takes for those on offer when it starts while the cloud is down."""
+def _types_read_by_starting_node(records: Rows, seconds: float = 2.0) -> list[str]:
+    """Return the machine types that a node reads when it starts while the cloud is down."""
     cluster = SimulatedCluster(91, nodes=1)
     cluster.cloud.down = True
     cluster.state.rows |= records
@@ -37,15 +37,15 @@
     return sorted(cluster.controllers["n0"].machine_types)
 
 
-class _History:
+class _RecordHistory:
     """Every state of the records that a node could have read."""
 
     def __init__(self, cluster: SimulatedCluster) -> None:
         self.states: list[Rows] = []
-        carry_out = cluster.state._txn
+        original_txn = cluster.state._txn
 
         def txn(body: dict, node: str) -> tuple:
-            answer = carry_out(body, node)
+            answer = original_txn(body, node)
             records = _records(cluster.state)
             if records and (not self.states or records != self.states[-1]):
                 self.states.append(records)
@@ -54,36 +54,37 @@
         cluster.state._txn = txn
 
     def read_by_starting_nodes(self) -> list[list[str]]:
-        """What nodes read that start at each state, in its order."""
-        read, known = [], {}
+        """Return the types that a node reads when it starts at each state, in the order of the states."""
+        read, known_types = [], {}
         for records in self.states:
             text = json.dumps({key: row[0] for key, row in records.items()})
-            if text not in known:
-                known[text] = _starting_node(records)
-            read.append(known[text])
+            if text not in known_types:
+                known_types[text] = _types_read_by_starting_node(records)
+            read.append(known_types[text])
         return read
 
 
-def _crash_owner(cluster: SimulatedCluster, back: float) -> None:
-    """End the process that owns the fleet, if there is one at present."""
+def _crash_owner(cluster: SimulatedCluster, restart_s: float) -> None:
+    """Crash the node that owns the fleet, if there is one."""
     if FLEET_KEY in cluster.state.rows:
-        cluster.crash(cluster.state.rows[FLEET_KEY][0]["n"], back)
+        cluster.crash(cluster.state.rows[FLEET_KEY][0]["n"], restart_s)
 
 
 def _write_as_in_production(cluster: SimulatedCluster, name: str) -> None:
-    """Make a node write the types as the version in production does: all of them in one value, nothing else."""
+    """Make a node write the types as the version in production does: all of them in one value."""
     fleet = cluster.controllers[name].fleet_manager
 
     def store_types(*_args: Any) -> None:
-        def done(result: TransactionResult) -> None:
+        def on_result(result: TransactionResult) -> None:
             if result.outcome is Outcome.COMMITTED:
                 fleet._stored_signatures = {
-                    (kind.name, kind.vcpus, kind.memory_gb, tuple(kind.zones)) for kind in fleet._machine_types.values()
+                    (machine_type.name, machine_type.vcpus, machine_type.memory_gb, tuple(machine_type.zones))
+                    for machine_type in fleet._machine_types.values()
                 }
 
         value = {"rigs": cluster.cloud.machine_types}
         fleet._store.transact(
-            {FLEET_KEY: fleet._token or 0}, [state_wire.put(MACHINE_TYPES_KEY, value)], CallPriority.ADMIT, done
+            {FLEET_KEY: fleet._token or 0}, [state_wire.put(MACHINE_TYPES_KEY, value)], CallPriority.ADMIT, on_result
         )
 
     fleet._store_types = store_types
@@ -92,32 +93,33 @@
 # -- what a starting node reads
 
 
-def _first(types: list[dict], **named: int) -> dict:
-    return {"rigs": types} | named
+def _first_record(types: list[dict], **references: int) -> dict:
+    """Return the value of a first record that may refer to continuation records."""
+    return {"rigs": types} | references
 
 
 @pytest.mark.parametrize(
     ("records", "expected"),
     [
-        ({MACHINE_TYPES_KEY: _first(offered_types(2, "a"))}, machine_type_names(offered_types(2, "a"))),
-        ({f"{MACHINE_TYPES_KEY}/1": {"rigs": offered_types(2, "b")}}, []),  # what the first names is not known yet
+        ({MACHINE_TYPES_KEY: _first_record(offered_types(2, "a"))}, machine_type_names(offered_types(2, "a"))),
+        ({f"{MACHINE_TYPES_KEY}/1": {"rigs": offered_types(2, "b")}}, []),  # The first record is not known yet.
         (
             {
-                MACHINE_TYPES_KEY: _first(offered_types(1, "a"), more=1),
+                MACHINE_TYPES_KEY: _first_record(offered_types(1, "a"), more=1),
                 f"{MACHINE_TYPES_KEY}/1": {"rigs": offered_types(2, "b")},
             },
             ["a-00", "b-00", "b-01"],
         ),
         (
             {
-                MACHINE_TYPES_KEY: _first(offered_types(2, "a")),
+                MACHINE_TYPES_KEY: _first_record(offered_types(2, "a")),
                 f"{MACHINE_TYPES_KEY}/1": {"rigs": offered_types(2, "b")},
             },
             ["a-00", "a-01"],
         ),
         (
             {
-                MACHINE_TYPES_KEY: _first(offered_types(1, "a"), more=1, more_from=2),
+                MACHINE_TYPES_KEY: _first_record(offered_types(1, "a"), more=1, more_from=2),
                 f"{MACHINE_TYPES_KEY}/1": {"rigs": offered_types(1, "b")},
                 f"{MACHINE_TYPES_KEY}/2": {"rigs": []},
             },
@@ -125,17 +127,17 @@
         ),
         (
             {
-                MACHINE_TYPES_KEY: _first(offered_types(2, "a"), more=2),
+                MACHINE_TYPES_KEY: _first_record(offered_types(2, "a"), more=2),
                 f"{MACHINE_TYPES_KEY}/1": {"rigs": offered_types(2, "b")},
             },
             [],
-        ),  # not whole
-        ({MACHINE_TYPES_KEY: _first(offered_types(1, "a"), more=1), f"{MACHINE_TYPES_KEY}/1": "nonsense"}, []),
+        ),  # incomplete
+        ({MACHINE_TYPES_KEY: _first_record(offered_types(1, "a"), more=1), f"{MACHINE_TYPES_KEY}/1": "nonsense"}, []),
     ],
     ids=["alone", "without-the-first", "named", "production-overwrote-the-first", "surplus", "incomplete", "nonsense"],
 )
 def test_starting_node_reads_first_record_and_records_it_names(records, expected):
-    assert _starting_node({key: (value, 1, None) for key, value in records.items()}) == expected
+    assert _types_read_by_starting_node({key: (value, 1, None) for key, value in records.items()}) == expected
 
 
 # -- what the fleet's owner writes
@@ -149,98 +151,101 @@
 
 
 def test_surplus_records_are_deleted_when_list_shrinks():
-    cluster = SimulatedCluster(93, nodes=1, next_limits=TIGHT)
+    cluster = SimulatedCluster(93, nodes=1, next_limits=TIGHT_LIMITS)
     cluster.state.lower_limits(write_rps=40.0)
-    history = _History(cluster)
+    history = _RecordHistory(cluster)
     offers = [offered_types(22, "a"), offered_types(9, "b"), offered_types(15, "c"), offered_types(3, "d")]
     for types in offers:
         cluster.cloud.machine_types = types
-        cluster.run(ASKED_S)
-    assert _starting_node(_records(cluster.state)) == machine_type_names(offers[-1])
+        cluster.run(TYPES_REFRESH_S)
+    assert _types_read_by_starting_node(_records(cluster.state)) == machine_type_names(offers[-1])
     assert list(_records(cluster.state)) == [MACHINE_TYPES_KEY]
     read = history.read_by_starting_nodes()
     assert all(names in [[], *map(machine_type_names, offers)] for names in read)
-    assert [] not in read[read.index(machine_type_names(offers[0])) :]  # one whole list is followed by another
+    assert [] not in read[read.index(machine_type_names(offers[0])) :]  # one complete list follows another
     assert max(len(records) for records in history.states) > 6
     assert not set(cluster.state.refused_writes) - {"rate"}
 
 
 @pytest.mark.parametrize("seed", range(4))
 def test_types_are_never_read_mixed_under_lost_answers_late_writes_and_crashes(seed):
-    cluster = SimulatedCluster(seed + 930, next_limits=TIGHT)
+    cluster = SimulatedCluster(seed + 930, next_limits=TIGHT_LIMITS)
     cluster.state.lower_limits(write_rps=40.0)
-    history = _History(cluster)
+    history = _RecordHistory(cluster)
     cluster.network.late_write_share, cluster.network.lost_answer_share = 0.15, 0.15
     offers = [offered_types(22, "a"), offered_types(9, "b"), offered_types(15, "c"), offered_types(3, "d")]
     for types in offers:
         cluster.cloud.machine_types = types
         for i in range(3):
             cluster.call_later(12.0 * i + 4.0 * cluster.rng.random(), lambda: _crash_owner(cluster, 0.5))
-        cluster.run(ASKED_S)
+        cluster.run(TYPES_REFRESH_S)
     cluster.network.end_faults()
-    cluster.run(2 * ASKED_S)
+    cluster.run(2 * TYPES_REFRESH_S)
     read = history.read_by_starting_nodes()
     assert all(names in [[], *map(machine_type_names, offers)] for names in read)
-    assert [] not in read[next(i for i, names in enumerate(read) if names) :]  # one whole list is followed by another
+    assert [] not in read[next(i for i, names in enumerate(read) if names) :]  # one complete list follows another
     assert machine_type_names(offers[-1]) == read[-1] and list(_records(cluster.state)) == [MACHINE_TYPES_KEY]
     assert cluster.network.event_counts["late write"] and cluster.network.event_counts["answer to a write lost"]
 
 
 def test_owner_crash_between_transactions_leaves_previous_list_intact():
-    """Guards against a list that is half the earlier one and half the next."""
-    cluster = SimulatedCluster(94, nodes=1, next_limits=TIGHT)
+    """Guards against a list that mixes the previous one and the next."""
+    cluster = SimulatedCluster(94, nodes=1, next_limits=TIGHT_LIMITS)
     cluster.cloud.machine_types = offered_types(18, "a")
-    cluster.run(ASKED_S)
-    assert _starting_node(_records(cluster.state)) == machine_type_names(offered_types(18, "a"))
-    whole, seen = cluster.state._txn, []
+    cluster.run(TYPES_REFRESH_S)
+    assert _types_read_by_starting_node(_records(cluster.state)) == machine_type_names(offered_types(18, "a"))
+    original_txn, executed = cluster.state._txn, []
 
     def txn(body: dict, node: str) -> tuple:
-        status, answer = whole(body, node)
+        status, answer = original_txn(body, node)
         if status == 200 and any(
             (op.get("write") or op["drop"]).startswith(MACHINE_TYPES_KEY) for op in body.get("apply", [])
         ):
-            seen.append(body)
+            executed.append(body)
             cluster.cloud.down = True
-            cluster.crash("n0", 0.5)  # once it was carried out, before its answer
+            cluster.crash("n0", 0.5)  # after the execution, before the answer
         return status, answer
 
     cluster.state._txn = txn
     cluster.cloud.machine_types = offered_types(14, "b")
     steps = 0
-    while _starting_node(_records(cluster.state)) != machine_type_names(offered_types(14, "b")):
-        assert _starting_node(_records(cluster.state)) == machine_type_names(offered_types(18, "a"))
+    while _types_read_by_starting_node(_records(cluster.state)) != machine_type_names(offered_types(14, "b")):
+        assert _types_read_by_starting_node(_records(cluster.state)) == machine_type_names(offered_types(18, "a"))
         cluster.cloud.down = False
-        cluster.run(ASKED_S)
+        cluster.run(TYPES_REFRESH_S)
         steps += 1
-        if steps >= 3:  # it may go on from here
-            cluster.state._txn = whole
+        if steps >= 3:  # From here on, the owner can finish.
+            cluster.state._txn = original_txn
         assert steps < 6
-    assert len(seen) >= 3
+    assert len(executed) >= 3
 
 
 @pytest.mark.parametrize("count", [2, 3])
 def test_production_owner_overwrites_first_record_only(count):
-    """Its value has no word of further ones; those that remain count for nothing, and the next new owner drops them."""
-    cluster = SimulatedCluster(95, nodes=3, next_limits=TIGHT)
+    """The value that the version in production writes refers to no continuation records.
+
+    The remaining ones are ignored, and deleted by the next owner of the present version.
+    """
+    cluster = SimulatedCluster(95, nodes=3, next_limits=TIGHT_LIMITS)
     cluster.cloud.machine_types = offered_types(18, "a")
-    cluster.run(ASKED_S)
-    history = _History(cluster)
+    cluster.run(TYPES_REFRESH_S)
+    history = _RecordHistory(cluster)
     for _ in range(3):
         for name in cluster.node_names:
             _write_as_in_production(cluster, name)
         cluster.cloud.machine_types = offered_types(count, "b")
         _crash_owner(cluster, 20.0)
-        cluster.run(ASKED_S)
-        assert _starting_node(_records(cluster.state)) == machine_type_names(cluster.cloud.machine_types)
+        cluster.run(TYPES_REFRESH_S)
+        assert _types_read_by_starting_node(_records(cluster.state)) == machine_type_names(cluster.cloud.machine_types)
         for name in cluster.node_names:
             if name in cluster.controllers and "_store_types" in vars(cluster.controllers[name].fleet_manager):
                 del cluster.controllers[name].fleet_manager._store_types
         cluster.cloud.machine_types = offered_types(18, "a")
-        cluster.run(ASKED_S)
-        assert _starting_node(_records(cluster.state)) == machine_type_names(cluster.cloud.machine_types)
+        cluster.run(TYPES_REFRESH_S)
+        assert _types_read_by_starting_node(_records(cluster.state)) == machine_type_names(cluster.cloud.machine_types)
     offers = [machine_type_names(offered_types(18, "a")), machine_type_names(offered_types(count, "b"))]
     assert all(names in offers for names in history.read_by_starting_nodes())
     cluster.cloud.machine_types = offered_types(2, "c")
-    cluster.run(ASKED_S)
+    cluster.run(TYPES_REFRESH_S)
     assert list(_records(cluster.state)) == [MACHINE_TYPES_KEY]
     assert len(encode_json(cluster.state.rows[MACHINE_TYPES_KEY][0])) <= 0.7 * 1024
--- a/tests/test_provisioning_times.py
+++ b/tests/test_provisioning_times.py
@@ -1,4 +1,4 @@
-"""Slow or failed provisioning: demand moves to zones where machines come up, and back once they do again."""
+"""Slow or failed provisioning: demand moves to zones where machines come up, and back once others recover."""
 
 from __future__ import annotations
 
@@ -9,35 +9,38 @@
 from tests.simulated_cluster import SimulatedCluster
 from tests.user_requests import UNIFORM_JOB
 
-READY_S = 20.0
-MACHINE_TYPE = MachineType("small", 8.0, 32.0, boot_s=READY_S, zones=["za", "zb"])
+BOOT_S = 20.0
+MACHINE_TYPE = MachineType("small", 8.0, 32.0, boot_s=BOOT_S, zones=["za", "zb"])
 
 
 def test_provisioning_time_is_learned_and_decays():
-    boots = ProvisioningTimes()
-    assert boots.expected_s(MACHINE_TYPE, "za", 0.0) == READY_S
+    provisioning_times = ProvisioningTimes()
+    assert provisioning_times.expected_s(MACHINE_TYPE, "za", 0.0) == BOOT_S
     for i in range(8):
-        boots.record_provisioned(MACHINE_TYPE, "za", 4 * READY_S, float(i))
-    late_s = boots.expected_s(MACHINE_TYPE, "za", 8.0)
-    assert 3.5 * READY_S < late_s < 4 * READY_S and boots.expected_s(MACHINE_TYPE, "zb", 8.0) == READY_S
-    assert boots.expected_s(MACHINE_TYPE, "za", 8.0 + 3 * DECAY_BOOTS * READY_S) < 1.2 * READY_S
+        provisioning_times.record_provisioned(MACHINE_TYPE, "za", 4 * BOOT_S, float(i))
+    slow_s = provisioning_times.expected_s(MACHINE_TYPE, "za", 8.0)
+    assert 3.5 * BOOT_S < slow_s < 4 * BOOT_S and provisioning_times.expected_s(MACHINE_TYPE, "zb", 8.0) == BOOT_S
+    assert provisioning_times.expected_s(MACHINE_TYPE, "za", 8.0 + 3 * DECAY_BOOTS * BOOT_S) < 1.2 * BOOT_S
     for i in range(8):
-        boots.record_provisioned(MACHINE_TYPE, "za", READY_S, 10.0 + i)
-    assert boots.expected_s(MACHINE_TYPE, "za", 18.0) < 1.25 * READY_S
+        provisioning_times.record_provisioned(MACHINE_TYPE, "za", BOOT_S, 10.0 + i)
+    assert provisioning_times.expected_s(MACHINE_TYPE, "za", 18.0) < 1.25 * BOOT_S
 
 
 def test_overdue_machine_raises_expected_provisioning_time():
-    boots = ProvisioningTimes()
-    boots.record_still_starting(MACHINE_TYPE, "za", 1.4 * READY_S)
-    assert boots.expected_s(MACHINE_TYPE, "za", 0.0) == READY_S
-    boots.record_still_starting(MACHINE_TYPE, "za", 3.0 * READY_S)
-    assert boots.expected_s(MACHINE_TYPE, "za", 0.0) == pytest.approx(3.0 * READY_S)
-    boots.clear_overdue()
-    assert boots.expected_s(MACHINE_TYPE, "za", 0.0) == READY_S
+    provisioning_times = ProvisioningTimes()
+    provisioning_times.record_still_starting(MACHINE_TYPE, "za", 1.4 * BOOT_S)
+    assert provisioning_times.expected_s(MACHINE_TYPE, "za", 0.0) == BOOT_S
+    provisioning_times.record_still_starting(MACHINE_TYPE, "za", 3.0 * BOOT_S)
+    assert provisioning_times.expected_s(MACHINE_TYPE, "za", 0.0) == pytest.approx(3.0 * BOOT_S)
+    provisioning_times.clear_overdue()
+    assert provisioning_times.expected_s(MACHINE_TYPE, "za", 0.0) == BOOT_S
 
 
-def _rented_in(seed: int, monkeypatch, learns: bool) -> tuple[float, int]:
-    """Share of machines rented in a zone in which none comes up, once that can be known; and how many in all."""
+def _rent_with_failing_zone(seed: int, monkeypatch, learns: bool) -> tuple[float, int]:
+    """Return the share of machines that are rented in a zone where none comes up, and the number of all rented ones.
+
+    The share is taken from the time on at which the failures can be known.
+    """
     if not learns:
         monkeypatch.setattr(ProvisioningTimes, "expected_s", lambda self, machine_type, zone, now: machine_type.boot_s)
     cluster = SimulatedCluster(seed, cpu_limit=1e6)
@@ -54,6 +57,6 @@
 
 def test_demand_moves_to_zone_where_provisioning_succeeds(monkeypatch):
     with monkeypatch.context() as patch:
-        without = [_rented_in(seed, patch, learns=False)[0] for seed in range(3)]
-    with_ = [_rented_in(seed, monkeypatch, learns=True)[0] for seed in range(3)]
-    assert sum(with_) < 0.5 * sum(without)
+        shares_without = [_rent_with_failing_zone(seed, patch, learns=False)[0] for seed in range(3)]
+    shares_with = [_rent_with_failing_zone(seed, monkeypatch, learns=True)[0] for seed in range(3)]
+    assert sum(shares_with) < 0.5 * sum(shares_without)
