--- a/tealhook/partitions/commands.py
+++ b/tealhook/partitions/commands.py
@@ -104,7 +104,7 @@
             or task.status == wire.TaskStatus.FETCHING
         )
 
-    def _stop_directly(self, machine: Machine) -> None:
+    def _send_stops(self, machine: Machine) -> None:
         """Send a machine's pending stops in the response to an open heartbeat, or else by a direct call.
 
         The worker reports the exits at once, so that the start for which the resources are freed can be sent in the
@@ -122,7 +122,7 @@
             self._effects.worker(machine.address, "POST", "/orders", body, DIRECT_CALL_TIMEOUT_S, ignore_answer)
 
     def launch(self, request: mesh.LaunchRequest) -> mesh.LaunchReply:
-        """Launch tasks on reservations once their assignments are durable; each reservation can be used once."""
+        """Launch tasks whose assignments are durable on their reservations, each of which can be used once."""
         refused = []
         stopping_machines: dict[str, Machine] = {}
         launching_machines: dict[str, None] = {}  # an ordered set, so that runs with the same seed are identical
@@ -152,7 +152,7 @@
                 machine.pending_stops[victim] = self._preemption_grace_period_s(machine.tasks.get(victim))
                 stopping_machines[machine.name] = machine
         for machine in stopping_machines.values():
-            self._stop_directly(machine)
+            self._send_stops(machine)
         for name in launching_machines:
             self._responder.answer_now(name)
         return mesh.LaunchReply(self._token, self._status_updates.next_sequence(), refused)
@@ -183,7 +183,7 @@
             else:
                 self._revoke(machine, key)
         for machine in stopping_machines.values():
-            self._stop_directly(machine)
+            self._send_stops(machine)
 
     def _revoke(self, machine: Machine, key: AttemptKey) -> None:
         """Cancel the launch of an attempt.
--- a/tealhook/partitions/released_machines.py
+++ b/tealhook/partitions/released_machines.py
@@ -6,7 +6,7 @@
 
 from tealhook.context import NodeContext
 
-MIN_REMEMBERED_MACHINES = 20_000  # this many are remembered however long ago they were released
+MIN_REMEMBERED_MACHINES = 20_000  # remembered in any case, so that no duplicate of a heartbeat outlasts the record
 RETENTION_LEASES = 20.0  # above that number, a machine is forgotten this many leases after its release
 
 
--- a/tealhook/partitions/status_updates.py
+++ b/tealhook/partitions/status_updates.py
@@ -96,25 +96,25 @@
 
         An update without that task would wrongly prove its absence.
         """
-        teams: dict[str, list[mesh.ObservedTask]] = {}
+        tasks_by_team: dict[str, list[mesh.ObservedTask]] = {}
         unknown_job = None
         for task in machine.tasks.values():
             team = self._launched_jobs.team_of(task.job)
             if team is None:
                 unknown_job = task.job
                 continue
-            teams.setdefault(team, []).append(
+            tasks_by_team.setdefault(team, []).append(
                 mesh.ObservedTask(task.job, task.index, task.attempt, task.status, task.cause)
             )
         for reservation in machine.reservations.values():
             if reservation.is_assigned:
-                teams.setdefault(reservation.team, []).append(
+                tasks_by_team.setdefault(reservation.team, []).append(
                     mesh.ObservedTask(reservation.job, reservation.index, reservation.attempt, mesh.LAUNCHING)
                 )
         if unknown_job is not None:
             self._observer.on_unknown_job(unknown_job)
             return None
-        return teams
+        return tasks_by_team
 
     def reconcile(self, request: mesh.ReconcileRequest) -> mesh.ReconcileReply:
         """Answer a reconcile request, and refuse launches by earlier schedulers of the team from now on."""
