--- a/tealhook/admission/admission.py
+++ b/tealhook/admission/admission.py
@@ -16,7 +16,7 @@
 from tealhook.admission.submissions import SubmissionHandler
 from tealhook.admission.validation import JobValidator
 from tealhook.context import NodeContext
-from tealhook.coordination import Versions
+from tealhook.coordination import VersionAgreement
 from tealhook.http import Reply
 from tealhook.jobs.index import JobIndex
 from tealhook.jobs.record_store import JobRecordStore
@@ -35,7 +35,7 @@
         job_index: JobIndex,
         machine_types: Mapping[str, MachineType],
         progress: Mapping[str, JobProgress],
-        versions: Versions,
+        versions: VersionAgreement,
     ) -> None:
         """Jobs are validated against `machine_types`, as far as these are known; `progress` is shown to users."""
         records = JobRecordStore(context, store, job_index)
--- a/tealhook/admission/validation.py
+++ b/tealhook/admission/validation.py
@@ -5,7 +5,7 @@
 from collections.abc import Mapping
 
 from tealhook.context import NodeContext
-from tealhook.coordination import Versions
+from tealhook.coordination import VersionAgreement
 from tealhook.settings.platform import Team
 from tealhook.wire.cloud import MachineType
 from tealhook.wire.users import JobKind, JobSpec
@@ -14,7 +14,9 @@
 class JobValidator:
     """Compares jobs with the teams and the machine types that there are."""
 
-    def __init__(self, context: NodeContext, machine_types: Mapping[str, MachineType], versions: Versions) -> None:
+    def __init__(
+        self, context: NodeContext, machine_types: Mapping[str, MachineType], versions: VersionAgreement
+    ) -> None:
         """`machine_types` is empty until they are known; `versions` tells which ones the controllers run."""
         self._machine_types = machine_types
         self._versions = versions
--- a/tealhook/controller.py
+++ b/tealhook/controller.py
@@ -5,7 +5,7 @@
 from tealhook.admission import Admission
 from tealhook.api import Api
 from tealhook.context import NodeContext, PolicyValues
-from tealhook.coordination import FLEET_KEY, Ownership, OwnershipView, Versions, team_key
+from tealhook.coordination import FLEET_KEY, Ownership, OwnershipView, VersionAgreement, team_key
 from tealhook.coordination.ownership_keys import PARTITION_PREFIX, TEAM_PREFIX
 from tealhook.fleet import FleetManager
 from tealhook.forwarding import RequestForwarder
@@ -61,9 +61,9 @@
         self.fleet_manager = FleetManager(
             context, self.ownership, self.state_client, self.mesh, self.machine_types, self._on_machines_released
         )
-        self.versions = Versions(context, self.state_client)
+        self.version_agreement = VersionAgreement(context, self.state_client)
         self.admission = Admission(
-            context, self.state_client, self.job_index, self.machine_types, self._progress, self.versions
+            context, self.state_client, self.job_index, self.machine_types, self._progress, self.version_agreement
         )
         fleet_inputs = FleetInputs(context, self.ownership)
         gossip_receiver = GossipReceiver(
@@ -77,7 +77,7 @@
             self.partition_manager,
             self.admission,
             HealthCheck(context, self.state_client, self.job_index, peers),
-            RequestForwarder(context, self.state_client, self.mesh, self.versions, peers),
+            RequestForwarder(context, self.state_client, self.mesh, self.version_agreement, peers),
         )
         self.on_request = self.api.on_request  # called for every request of users, workers and health checks
         handler = MeshHandler(
@@ -89,7 +89,7 @@
         """Begin to read the state store, to claim ownership keys, and to gossip twice per heartbeat period."""
         self.job_index.start(self)
         self.ownership.start(self, self.partition_manager)
-        self.versions.start()
+        self.version_agreement.start()
         every(self.context.effects, self.context.workers.report_s / 2, self.gossip_sender.send)
 
     def on_ownership_change(self, key: str, token: int | None) -> None:
--- a/tealhook/coordination/claims.py
+++ b/tealhook/coordination/key_claimer.py
@@ -12,7 +12,7 @@
 
 from tealhook.context import NodeContext
 from tealhook.coordination.balancing import plan_owners
-from tealhook.coordination.lease import NodeLease, lease_ttl_s
+from tealhook.coordination.lease import NodeLease, node_lease_ttl_s
 from tealhook.coordination.owned_keys import OwnedKeys
 from tealhook.coordination.ownership_keys import FLEET_KEY, PARTITION_PREFIX, TEAM_PREFIX, node_key
 from tealhook.coordination.ownership_view import OwnershipRecord, OwnershipView, stored_value
@@ -40,12 +40,12 @@
 class ZoneHeartbeats(Protocol):
     """Whether heartbeats of workers arrive at this node."""
 
-    def is_unheard(self, zone: str | None) -> bool:
+    def is_silent(self, zone: str | None) -> bool:
         """Whether none of a zone's workers, or for None of all zones', is heard here."""
         ...
 
 
-class KeyClaims:
+class KeyClaimer:
     """Decides which keys to claim and which to release, and writes that to the state store."""
 
     def __init__(
@@ -70,7 +70,7 @@
         self._node_key = node_key(context.node)
         self._incarnation = f"{context.incarnation:x}"
         self._zone = context.settings.domain
-        self._lease_ttl_s = lease_ttl_s(context)
+        self._node_lease_ttl_s = node_lease_ttl_s(context)
         self._is_writing = False
         self._max_claims = MAX_CLAIMS  # of one transaction; fewer after one was rejected
         self._claim_not_before = LONG_AGO_S  # a rejected claim is not repeated before
@@ -95,24 +95,24 @@
             return
         live = self._view.live_nodes()
         plan = plan_owners(self._view.keys(), live)
-        reaches_no_partition = self._reaches_no_partition(now)
+        all_partitions_unreachable = self._all_partitions_unreachable(now)
         if not self._is_isolated(live):
             self._avoided_until.clear()  # others hand keys back from now on, and expect them to be claimed
-        keys = [key for key, owner in plan.items() if self._should_claim(key, owner, reaches_no_partition, now)]
+        keys = [key for key, owner in plan.items() if self._should_claim(key, owner, all_partitions_unreachable, now)]
         if keys:
             self._claim(keys[: max(1, min(self._store.max_operations - 1, self._max_claims))])
         else:
-            self._hand_over(plan, reaches_no_partition, now)
+            self._hand_over(plan, all_partitions_unreachable, now)
 
     # -- claims
 
-    def _should_claim(self, key: str, planned_owner: str, reaches_no_partition: bool, now: float) -> bool:
+    def _should_claim(self, key: str, planned_owner: str, all_partitions_unreachable: bool, now: float) -> bool:
         if self._view.has_record(key):
             return False
-        if reaches_no_partition and key.startswith(TEAM_PREFIX) or self._avoided_until.get(key, now) > now:
+        if all_partitions_unreachable and key.startswith(TEAM_PREFIX) or self._avoided_until.get(key, now) > now:
             return False
         # A key planned for another node is claimed only if that node has not claimed it for longer than a lease lives.
-        return planned_owner == self._node or self._view.absent_s(key, now) > self._lease_ttl_s
+        return planned_owner == self._node or self._view.absent_s(key, now) > self._node_lease_ttl_s
 
     def _claim(self, keys: list[str]) -> None:
         """Compare and swap: claim keys that nobody owns, on the condition that this process is still registered."""
@@ -130,7 +130,7 @@
                 self._view.record_claims(keys, OwnershipRecord.parse(value, result.revision))
             elif result.outcome is Outcome.REJECTED:
                 self._max_claims = max(1, len(keys) // 2)
-                self._claim_not_before = self._effects.now() + self._lease_ttl_s / CLAIM_RETRIES_PER_LEASE
+                self._claim_not_before = self._effects.now() + self._node_lease_ttl_s / CLAIM_RETRIES_PER_LEASE
             elif result.outcome is Outcome.CONFLICTED:
                 remaining = [key for key in keys if key not in result.failed_keys]
                 if remaining and len(remaining) < len(keys):
@@ -142,7 +142,7 @@
 
     # -- failover by network partitions
 
-    def _reaches_no_partition(self, now: float) -> bool:
+    def _all_partitions_unreachable(self, now: float) -> bool:
         """Whether no owner of a partition can be reached for a while, so that a team's scheduler could place nothing.
 
         This does not declare any node dead: our teams' keys are deleted, and a node that reaches a partition claims
@@ -154,7 +154,7 @@
             return False
         if self._unreachable_since is None:
             self._unreachable_since = now
-        return now - self._unreachable_since > self._lease_ttl_s * UNREACHABLE_LEASES
+        return now - self._unreachable_since > self._node_lease_ttl_s * UNREACHABLE_LEASES
 
     def _is_useless_here(self, key: str, live: Mapping[str, str]) -> bool:
         """Whether an own key should be released: no worker is heard, nor any peer that would relay their heartbeats.
@@ -165,8 +165,8 @@
         if not self._is_isolated(live):
             return False
         if key.startswith(PARTITION_PREFIX):
-            return self._heartbeats.is_unheard(key[len(PARTITION_PREFIX) :])
-        return key == FLEET_KEY and self._heartbeats.is_unheard(None)
+            return self._heartbeats.is_silent(key[len(PARTITION_PREFIX) :])
+        return key == FLEET_KEY and self._heartbeats.is_silent(None)
 
     def _is_isolated(self, live: Mapping[str, str]) -> bool:
         """Whether other nodes are registered, and none of them can be reached from here."""
@@ -175,16 +175,19 @@
 
     # -- handing over
 
-    def _hand_over(self, plan: Mapping[str, str], reaches_no_partition: bool, now: float) -> None:
+    def _hand_over(self, plan: Mapping[str, str], all_partitions_unreachable: bool, now: float) -> None:
         """Release one key, at most one per half lease and only while the set of live nodes is stable."""
-        if not self._view.is_stable(now) or now - self._handed_over_at < self._lease_ttl_s * HANDOVER_INTERVAL_LEASES:
+        if (
+            not self._view.is_stable(now)
+            or now - self._handed_over_at < self._node_lease_ttl_s * HANDOVER_INTERVAL_LEASES
+        ):
             return
         live = self._view.live_nodes()
         for key, token in self._owned.tokens().items():
-            must_release = reaches_no_partition and key.startswith(TEAM_PREFIX)
+            must_release = all_partitions_unreachable and key.startswith(TEAM_PREFIX)
             if self._is_useless_here(key, live):
                 must_release = True
-                self._avoided_until[key] = now + RELEASE_COOLDOWN_LEASES * self._lease_ttl_s
+                self._avoided_until[key] = now + RELEASE_COOLDOWN_LEASES * self._node_lease_ttl_s
             planned_owner = plan.get(key, self._node)
             if must_release:
                 log.info("releasing ownership of %s to any node that reaches more", key)
--- a/tealhook/coordination/lease.py
+++ b/tealhook/coordination/lease.py
@@ -19,7 +19,7 @@
 RENEWAL_RETRIES_PER_LEASE = 12  # after a renewal without an answer
 
 
-def lease_ttl_s(context: NodeContext) -> float:
+def node_lease_ttl_s(context: NodeContext) -> float:
     """Time to live of a node's lease."""
     return context.workers.lease_s / LEASES_PER_WORKER_LEASE
 
@@ -32,7 +32,7 @@
         self._effects = context.effects
         self._store = store
         self._node_key = node_key(context.node)
-        self._ttl_s = lease_ttl_s(context)
+        self._ttl_s = node_lease_ttl_s(context)
         self.lease_id: int | None = None  # None: there is none, or it has expired
 
     def revoke_former(self, done: Callable[[], None]) -> None:
--- a/tealhook/coordination/ownership.py
+++ b/tealhook/coordination/ownership.py
@@ -9,8 +9,8 @@
 from functools import partial
 
 from tealhook.context import NodeContext
-from tealhook.coordination.claims import KeyClaims, Reachability, ZoneHeartbeats
-from tealhook.coordination.lease import NodeLease, lease_ttl_s
+from tealhook.coordination.key_claimer import KeyClaimer, Reachability, ZoneHeartbeats
+from tealhook.coordination.lease import NodeLease, node_lease_ttl_s
 from tealhook.coordination.owned_keys import OwnedKeys, OwnershipObserver
 from tealhook.coordination.ownership_view import OwnershipView
 from tealhook.coordination.suspension import SuspensionDetector
@@ -34,28 +34,28 @@
         self._view = view
         self._reachability = reachability
         self.node = context.node
-        self.lease_ttl_s = lease_ttl_s(context)
+        self.node_lease_ttl_s = node_lease_ttl_s(context)
         self._lease = NodeLease(context, store)
         self._owned = OwnedKeys()
-        self._suspension = SuspensionDetector(self.lease_ttl_s * SUSPENSION_LEASES, context.effects.now())
+        self._suspension = SuspensionDetector(self.node_lease_ttl_s * SUSPENSION_LEASES, context.effects.now())
 
     def start(self, observer: OwnershipObserver, heartbeats: ZoneHeartbeats) -> None:
         """End what an earlier process of this node's name owns, then register and claim keys; `observer` is told."""
-        claims = KeyClaims(
+        claimer = KeyClaimer(
             self._context, self._store, self._view, self._lease, self._owned, self._reachability, heartbeats
         )
-        self._lease.revoke_former(partial(self._begin, observer, partial(self._review, claims)))
+        self._lease.revoke_former(partial(self._begin, observer, partial(self._review, claimer)))
 
     def _begin(self, observer: OwnershipObserver, review: Callable[[], None]) -> None:
         self._view.start(partial(self._on_view_change, observer, review))
         self._lease.acquire(review)
-        every(self._effects, self.lease_ttl_s / REVIEWS_PER_LEASE, review)
+        every(self._effects, self.node_lease_ttl_s / REVIEWS_PER_LEASE, review)
 
-    def _review(self, claims: KeyClaims) -> None:
-        if self.lease_uncertain:
+    def _review(self, claimer: KeyClaimer) -> None:
+        if self.is_lease_uncertain:
             return
         self._suspension.record_run(self._effects.now())
-        claims.review()
+        claimer.review()
 
     def _on_view_change(self, observer: OwnershipObserver, review: Callable[[], None]) -> None:
         self._owned.update(self._view.tokens_of_this_process(), observer)
@@ -75,7 +75,7 @@
         return self._owned.tokens()
 
     @property
-    def lease_uncertain(self) -> bool:
+    def is_lease_uncertain(self) -> bool:
         """Whether this process was suspended so long that its lease may have expired and others may own its keys.
 
         After a suspension overdue timers may run before the sockets are read. This guards against decisions on
@@ -106,10 +106,10 @@
         """Add a key that some node should own."""
         self._view.add_key(key)
 
-    def learn_tokens(self, node: str, tokens: dict[str, int]) -> None:
+    def merge_peer_tokens(self, node: str, tokens: dict[str, int]) -> None:
         """Learn the keys of a peer. A token above ours ends our ownership, even while the state store can't be read.
 
         Without this, an owner behind a network partition from the state store alone would keep its workers by answering
         them, and the new owner would take their machines for lost.
         """
-        self._view.learn_tokens(node, tokens)
+        self._view.merge_peer_tokens(node, tokens)
--- a/tealhook/coordination/ownership_view.py
+++ b/tealhook/coordination/ownership_view.py
@@ -7,7 +7,7 @@
 from typing import Any
 
 from tealhook.context import NodeContext
-from tealhook.coordination.lease import lease_ttl_s
+from tealhook.coordination.lease import node_lease_ttl_s
 from tealhook.coordination.ownership_keys import (
     FLEET_KEY,
     NODE_PREFIX,
@@ -64,7 +64,7 @@
         self._expected_keys: set[str] = {FLEET_KEY}  # each of them should have an owner
         self._expected_keys.update(team_key(name) for name in context.settings.team_names)
         self._expected_keys.update(partition_key(zone) for zone in context.settings.params.zones)
-        self._stability = MembershipStability(lease_ttl_s(context), context.effects.now())
+        self._stability = MembershipStability(node_lease_ttl_s(context), context.effects.now())
         self._on_change: Callable[[], None] | None = None
         self.watcher = Watcher(
             context.effects,
@@ -154,7 +154,7 @@
         """Add a key that should have an owner."""
         self._expected_keys.add(key)
 
-    def learn_tokens(self, node: str, tokens: dict[str, int]) -> None:
+    def merge_peer_tokens(self, node: str, tokens: dict[str, int]) -> None:
         """Learn from a peer which keys it owns; only a higher fencing token than the known one counts."""
         changed = False
         for key, token in tokens.items():
--- a/tealhook/coordination/stability.py
+++ b/tealhook/coordination/stability.py
@@ -7,7 +7,7 @@
 
 STABLE_AFTER_LEASES = 2  # how long the set has to stay the same
 LOSS_MEMORY_LEASES = 30  # how long the loss of a node is remembered
-MAX_DOUBLINGS = 2  # of the time for which the set has to stay the same, for a node that is lost again and again
+MAX_STABILITY_DOUBLINGS = 2  # of the time without changes that is required after repeated losses of one node
 
 
 class MembershipStability:
@@ -18,9 +18,9 @@
     jobs.
     """
 
-    def __init__(self, lease_ttl_s: float, now: float) -> None:
-        """`lease_ttl_s`: of the leases in the state store under which nodes are registered."""
-        self._lease_ttl_s = lease_ttl_s
+    def __init__(self, node_lease_ttl_s: float, now: float) -> None:
+        """`node_lease_ttl_s`: of the leases in the state store under which nodes are registered."""
+        self._node_lease_ttl_s = node_lease_ttl_s
         self._changed_at = now
         self._losses: dict[str, deque[float]] = {}  # node -> when its registration was lost lately
 
@@ -31,11 +31,11 @@
             return
         self._changed_at = now
         for node in previous - live:
-            self._losses.setdefault(node, deque(maxlen=MAX_DOUBLINGS + 1)).append(now)
+            self._losses.setdefault(node, deque(maxlen=MAX_STABILITY_DOUBLINGS + 1)).append(now)
 
     def is_stable(self, now: float) -> bool:
         """Whether nothing has changed for long enough: twice as long with each further loss of the same node."""
-        since = now - LOSS_MEMORY_LEASES * self._lease_ttl_s
+        since = now - LOSS_MEMORY_LEASES * self._node_lease_ttl_s
         losses = max((sum(at >= since for at in times) for times in self._losses.values()), default=0)
-        doublings = min(max(0, losses - 1), MAX_DOUBLINGS)
-        return now - self._changed_at > STABLE_AFTER_LEASES * self._lease_ttl_s * 2**doublings
+        doublings = min(max(0, losses - 1), MAX_STABILITY_DOUBLINGS)
+        return now - self._changed_at > STABLE_AFTER_LEASES * self._node_lease_ttl_s * 2**doublings
--- a/tealhook/coordination/versions.py
+++ b/tealhook/coordination/version_agreement.py
@@ -22,7 +22,7 @@
 VERSION = 1  # dependencies between jobs
 
 
-class Versions:
+class VersionAgreement:
     """This node's version record, those of the others, and whether all have agreed."""
 
     def __init__(self, context: NodeContext, store: StateClient) -> None:
--- a/tealhook/fleet/manager.py
+++ b/tealhook/fleet/manager.py
@@ -62,7 +62,7 @@
     def _step(self) -> None:
         """Make the calls that are due: types, releases, a list. Repeats itself."""
         self._effects.later(self._step_every * (0.9 + 0.2 * self._effects.rng.random()), self._step)
-        if self._token is None or self._ownership.lease_uncertain:
+        if self._token is None or self._ownership.is_lease_uncertain:
             return
         now = self._effects.now()
         for name, when in list(self._released_at.items()):
@@ -97,7 +97,7 @@
             self._token is None
             or not self._machine_types
             or not (self._has_listed or self._is_new_cluster)
-            or self._ownership.lease_uncertain
+            or self._ownership.is_lease_uncertain
         ):
             return
         now = self._effects.now()
--- a/tealhook/fleet/releasing.py
+++ b/tealhook/fleet/releasing.py
@@ -40,7 +40,7 @@
         keep = 1.0 if self._is_listing or now - self._listed_at > self._list_lag_s * self._page_count else 0.0
         if (
             not names
-            or self._ownership.lease_uncertain
+            or self._ownership.is_lease_uncertain
             or self._cloud_silent_since is not None
             or now < self._no_release_before
         ):
--- a/tealhook/fleet/renting.py
+++ b/tealhook/fleet/renting.py
@@ -123,7 +123,7 @@
             self._calls_in_flight -= 1
             self._take_answer(rental, status, body)
             # An answer may be the first that a process which stood still comes to, before any timer.
-            if self._renting is None and not self._ownership.lease_uncertain:
+            if self._renting is None and not self._ownership.is_lease_uncertain:
                 self._rent_remaining()  # from elsewhere
 
         self._call("POST", "/rentals", encode_json(rental), answer)
@@ -167,7 +167,7 @@
         """Send a rental again as soon as the cloud may be called, unless it has been given up."""
         if self._token is None or self._renting is not rental:
             return
-        if not self._ownership.lease_uncertain and self._bucket.take(1, self._effects.now()):
+        if not self._ownership.is_lease_uncertain and self._bucket.take(1, self._effects.now()):
             self._send_rental(rental)
         else:
             self._effects.later(0.5, lambda: self._repeat(rental))
--- a/tealhook/forwarding.py
+++ b/tealhook/forwarding.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from tealhook.context import NodeContext
-from tealhook.coordination import Versions
+from tealhook.coordination import VersionAgreement
 from tealhook.gossip import PeerStates
 from tealhook.http import Reply, Request, RequestHandler
 from tealhook.mesh import Mesh
@@ -19,19 +19,24 @@
     """Chooses the peer that decides users' requests, and forwards them."""
 
     def __init__(
-        self, context: NodeContext, store: StateClient, mesh: Mesh, versions: Versions, peers: PeerStates
+        self,
+        context: NodeContext,
+        store: StateClient,
+        mesh: Mesh,
+        version_agreement: VersionAgreement,
+        peers: PeerStates,
     ) -> None:
         """`peers` says who can stand in, `versions` whether any of them may decide all requests."""
         self._effects = context.effects
         self._lease_s = context.workers.lease_s
         self._store = store
         self._mesh = mesh
-        self._versions = versions
+        self._version_agreement = version_agreement
         self._peers = peers
 
     def forward_or_handle(self, request: Request, reply: Reply, handle: RequestHandler) -> None:
         """Forward a request if a peer is to decide it; `handle` it here if not, or if the peer does not reply."""
-        peer = self.find_stand_in()
+        peer = self.choose_forwarding_peer()
         if peer is None or not self._is_decided_alike(request):
             handle(request, reply)
             return
@@ -46,7 +51,7 @@
             peer, wire.ForwardRequest(request.method, request.target, request.body), FORWARD_TIMEOUT_S, forwarded
         )
 
-    def find_stand_in(self) -> str | None:
+    def choose_forwarding_peer(self) -> str | None:
         """The peer that decides users' requests while the state service serves it but not us; None: we decide.
 
         This guards against refusing users whom another controller could serve: one that is refused retries only after
@@ -68,7 +73,7 @@
         While a peer may run an earlier version, that one would accept a job that waits for others as one that does
         not, and start it at once; or accept a submission that lacks a field.
         """
-        if request.method != "POST" or request.path != SUBMIT_PATH or self._versions.all_upgraded:
+        if request.method != "POST" or request.path != SUBMIT_PATH or self._version_agreement.all_upgraded:
             return True
         try:
             return not parse_job(request.body).depends_on
--- a/tealhook/gossip/peer_states.py
+++ b/tealhook/gossip/peer_states.py
@@ -19,4 +19,4 @@
 
     def is_reachable(self, node: str) -> bool:
         """Whether a message of the peer came lately. Only a hint for choosing a peer: silence proves nothing."""
-        return node == self._mesh.node or self._mesh.seconds_since_heard(node) < self._reachable_s
+        return node == self._mesh.node or self._mesh.seconds_since_last_message(node) < self._reachable_s
--- a/tealhook/gossip/receiver.py
+++ b/tealhook/gossip/receiver.py
@@ -42,7 +42,7 @@
         self._fleet_inputs.store(gossip, now)
         if gossip.node != self._context.node:
             self._peers.served_at[gossip.node] = now - gossip.state_age_s
-            self._ownership.learn_tokens(gossip.node, gossip.tokens)
+            self._ownership.merge_peer_tokens(gossip.node, gossip.tokens)
         partitions = self._partition_manager.partitions
         for zone, addresses in gossip.addresses.items():
             if zone in partitions:
--- a/tealhook/gossip/sender.py
+++ b/tealhook/gossip/sender.py
@@ -68,7 +68,7 @@
             else:
                 self._mesh.send(peer, gossip)
         if fleet_owner == self._mesh.node:
-            self._plan_fleet(now)
+            self._scale_fleet(now)
 
     def _compose(self, now: float) -> tuple[wire.Gossip, wire.Gossip]:
         """What every controller is told, and the same with what only the fleet's owner is told."""
@@ -90,7 +90,7 @@
         detailed = msgspec.structs.replace(common, demand=demand, machines=machines, blocked=blocked, placed=placed)
         return common, detailed
 
-    def _plan_fleet(self, now: float) -> None:
+    def _scale_fleet(self, now: float) -> None:
         snapshot = self._fleet_inputs.snapshot(now)
         self._sources.fleet_manager.scale(
             snapshot.machines, snapshot.usage, snapshot.demand, snapshot.zones, snapshot.non_spot_demand
--- a/tealhook/mesh/mesh.py
+++ b/tealhook/mesh/mesh.py
@@ -67,7 +67,7 @@
         """Hand messages to `handler` from now on."""
         self._handler = handler
 
-    def seconds_since_heard(self, peer: str) -> float:
+    def seconds_since_last_message(self, peer: str) -> float:
         """Seconds since the last message of a peer; more than any limit when there was none."""
         return self._effects.now() - self._heard_at.get(peer, LONG_AGO_S)
 
--- a/tealhook/mesh/transport.py
+++ b/tealhook/mesh/transport.py
@@ -13,7 +13,7 @@
 log = logging.getLogger(__name__)
 
 LENGTH_BYTES = 4  # of the length before each frame
-MAX_QUEUED = 2 * MAX_FRAME  # to a peer that does not read; the gossip of thousands of machines is one frame
+MAX_QUEUED_BYTES = 2 * MAX_FRAME  # to a peer that does not read; the gossip of thousands of machines is one frame
 MAX_BATCH = 32 * 1024  # bytes of frames that wait to go out together
 BACKLOG = 32  # connections that peers may open at once
 INCOMING_PER_PEER = 4  # connections: after a network cut a peer opens new ones beside old ones that hang
@@ -101,7 +101,7 @@
         return None if connection.closed else connection
 
     def _connect(self, peer: str) -> Stream | None:
-        connection = Stream.connect(self._loop, self._peers[peer], MAX_QUEUED)
+        connection = Stream.connect(self._loop, self._peers[peer], MAX_QUEUED_BYTES)
         if connection is not None:
             self._connections[peer] = connection
             self._connecting_since[peer] = self._loop.now()
--- a/tealhook/partitions/manager.py
+++ b/tealhook/partitions/manager.py
@@ -88,9 +88,9 @@
         A node that the state service refuses alone goes on being told to launch by schedulers that it serves; what is
         cancelled meanwhile it would start all the same. By then its lease has run out in any case.
         """
-        return self._ownership.lease_uncertain or self._job_index.watcher.age() > self._ownership.lease_ttl_s
+        return self._ownership.is_lease_uncertain or self._job_index.watcher.age() > self._ownership.node_lease_ttl_s
 
-    def is_unheard(self, zone: str | None) -> bool:
+    def is_silent(self, zone: str | None) -> bool:
         """Whether no worker of a zone that we own, or for None of any, has been heard of for longer than its lease."""
         partitions = (
             self.partitions.values() if zone is None else [self.partitions[zone]] if zone in self.partitions else []
--- a/tealhook/runtime.py
+++ b/tealhook/runtime.py
@@ -137,7 +137,7 @@
     """Reconnect to peers not heard lately, again and again: after a network cut a connection may hang for minutes."""
     lease_s = settings.params.workers.lease_s
     for peer in settings.peers:
-        if controller.mesh.seconds_since_heard(peer) > lease_s / 4:
+        if controller.mesh.seconds_since_last_message(peer) > lease_s / 4:
             runtime.transport.reset(peer)
     runtime.loop.later(lease_s / 8, lambda: _reconnect_unheard_peers(runtime, settings, controller))
 
--- a/tealhook/scheduling/cycle.py
+++ b/tealhook/scheduling/cycle.py
@@ -97,7 +97,7 @@
         While assignments wait for write tokens, capacity reserved for more of them would expire before it is used, be
         reserved again, and the writes spent on it be lost.
         """
-        return self._store.is_served and not self._commit_queue.is_backlogged and not self._ownership.lease_uncertain
+        return self._store.is_served and not self._commit_queue.is_backlogged and not self._ownership.is_lease_uncertain
 
     def _partition_owners(self) -> dict[str, str]:
         """The owners of the partitions, by zone.
--- a/tests/test_command_loss.py
+++ b/tests/test_command_loss.py
@@ -3,7 +3,7 @@
 import pytest
 
 from tealhook.controller import Controller
-from tealhook.coordination.claims import KeyClaims
+from tealhook.coordination.key_claimer import KeyClaimer
 from tealhook.partitions.machine_health import MachineHealth
 from tealhook.partitions.manager import PartitionManager
 from tealhook.partitions.partition import Partition
@@ -155,7 +155,7 @@
 @pytest.mark.parametrize("disabled", [False, True])
 def test_jobs_progress_while_controllers_cannot_reach_each_other(disabled, monkeypatch):
     if disabled:  # a node that reaches no partition keeps its teams
-        monkeypatch.setattr(KeyClaims, "_reaches_no_partition", lambda self, now: False)
+        monkeypatch.setattr(KeyClaimer, "_all_partitions_unreachable", lambda self, now: False)
     cluster = _busy_cluster(25)
     cluster.network.cut_peers()
     cluster.run(12.0)  # time for a team to move to a node that reaches a partition
--- a/tests/test_dependency_validation.py
+++ b/tests/test_dependency_validation.py
@@ -91,7 +91,7 @@
 def test_dependent_job_gets_retry_after_while_versions_are_mixed():
     client = ApiClient(54, nodes=1)
     client.cluster.run(20.0)
-    client.cluster.controllers["n0"].versions._agreed = False
+    client.cluster.controllers["n0"].version_agreement._agreed = False
     first = _accepted(client)
     status, answer, after, _took = client.submit("req-later", waits_on=json.dumps([first]))
     assert status == 503 and type(after) is int and after >= 1 and answer["error"]
--- a/tests/test_flapping.py
+++ b/tests/test_flapping.py
@@ -60,5 +60,5 @@
 @pytest.mark.parametrize("seed", range(81, 84))
 def test_ownership_of_flapping_node_is_not_handed_back(seed, monkeypatch):
     with_backoff = _changes_of_owner(seed)
-    monkeypatch.setattr(stability, "MAX_DOUBLINGS", 0)
+    monkeypatch.setattr(stability, "MAX_STABILITY_DOUBLINGS", 0)
     assert with_backoff < 0.75 * _changes_of_owner(seed)
--- a/tests/test_large_fleet.py
+++ b/tests/test_large_fleet.py
@@ -116,7 +116,8 @@
     addrs = {ZONE: {machine.name: machine.address for machine in fleet.partition.machines.values()}}
     body = mesh.Gossip("n0", 0.0, {}, [], [], {ZONE: states}, {}, addrs)
     frame = mesh.envelope_encoder.encode(mesh.Envelope("n0", 1, 1, 0, body))
-    assert 3 * len(frame) < mesh.MAX_FRAME < transport.MAX_QUEUED  # half as many machines again, and twice the room
+    # half as many machines again, and twice the room
+    assert 3 * len(frame) < mesh.MAX_FRAME < transport.MAX_QUEUED_BYTES
 
 
 def _spec(job: str) -> dict:
--- a/tests/test_mixed_versions.py
+++ b/tests/test_mixed_versions.py
@@ -131,7 +131,7 @@
     run_until(cluster, lambda: cluster.jobs[first].accepted)
     cluster.state.refused_nodes = {"n2"}
     cluster.run(3.0)
-    assert cluster.controllers["n2"].api.forwarder.find_stand_in() in NODE_NAMES[:2]
+    assert cluster.controllers["n2"].api.forwarder.choose_forwarding_peer() in NODE_NAMES[:2]
     spec = cluster.jobs[first].spec
 
     def submit(changes: dict) -> int:
--- a/tests/test_ownership_view.py
+++ b/tests/test_ownership_view.py
@@ -78,10 +78,10 @@
 
 def test_only_a_higher_token_of_a_peer_counts():
     view, owners = _view({KEY: (stored_value("n0", "7", "za"), 8)})
-    view.learn_tokens("n1", {KEY: 8, FLEET_KEY: 20})
-    view.learn_tokens("n2", {KEY: 7})
+    view.merge_peer_tokens("n1", {KEY: 8, FLEET_KEY: 20})
+    view.merge_peer_tokens("n2", {KEY: 7})
     assert view.owner(KEY) == "n0" and view.owner(FLEET_KEY) is None and view.tokens_of_this_process() == {KEY: 8}
-    view.learn_tokens("n1", {KEY: 9})
+    view.merge_peer_tokens("n1", {KEY: 9})
     assert view.owner(KEY) == "n1" and view.token(KEY) == 9 and view.tokens_of_this_process() == {}
     assert owners == ["n0", "n1"]
 
--- a/tests/test_stale_cancellation_view.py
+++ b/tests/test_stale_cancellation_view.py
@@ -164,7 +164,7 @@
     assert launches() == 1
     viewed_at, node.job_index.watcher.viewed_at = (
         node.job_index.watcher.viewed_at,
-        node.context.effects.now() - 1.1 * node.ownership.lease_ttl_s,
+        node.context.effects.now() - 1.1 * node.ownership.node_lease_ttl_s,
     )
     assert launches() == 0
     node.job_index.watcher.viewed_at = viewed_at
--- a/tests/test_suspended_process.py
+++ b/tests/test_suspended_process.py
@@ -64,7 +64,7 @@
 
 
 def test_ignoring_suspension_makes_calls_without_ownership(monkeypatch):
-    monkeypatch.setattr(Ownership, "lease_uncertain", property(lambda self: False))
+    monkeypatch.setattr(Ownership, "is_lease_uncertain", property(lambda self: False))
     assert _calls_without_the_fleet(monkeypatch) > 0
 
 
--- a/tests/test_upgrade_runs.py
+++ b/tests/test_upgrade_runs.py
@@ -9,7 +9,7 @@
 
 import pytest
 
-from tealhook.coordination import Versions
+from tealhook.coordination import VersionAgreement
 from tealhook.jobs import JobIndex
 from tealhook.jobs.job import Job
 from tests import dependency_graphs
@@ -102,7 +102,7 @@
 
 
 def _without_gate(patch: pytest.MonkeyPatch) -> None:
-    patch.setattr(Versions, "all_upgraded", property(lambda self: True))
+    patch.setattr(VersionAgreement, "all_upgraded", property(lambda self: True))
 
 
 def _without_check_at_start(patch: pytest.MonkeyPatch) -> None:
