--- a/tealhook/__main__.py
+++ b/tealhook/__main__.py
@@ -1,4 +1,4 @@
-"""`python -m tealhook`."""
+"""The entry point of `python -m tealhook`."""
 
 from tealhook.cli import main
 
--- a/tealhook/api.py
+++ b/tealhook/api.py
@@ -1,4 +1,4 @@
-"""HTTP requests of users, workers and health checks, and where each of them goes."""
+"""Routing of HTTP requests from users, workers and health checks."""
 
 from __future__ import annotations
 
@@ -26,14 +26,14 @@
         health_check: HealthCheck,
         forwarder: RequestForwarder,
     ) -> None:
-        """`partition_manager` answers workers; `admission` answers users, unless `forwarder` has a peer do it."""
+        """Initialize; `partition_manager` answers workers, and `admission` or, by `forwarder`, a peer answers users."""
         self._partition_manager = partition_manager
         self._admission = admission
         self._health_check = health_check
         self.forwarder = forwarder
 
     def on_request(self, request: Request, reply: Reply) -> None:
-        """Route a request of a user, a worker or a health check."""
+        """Route a request from a user, a worker or a health check."""
         path = request.path
         if path == HEARTBEAT_PATH:
             if _has_method(request, "POST", reply):
@@ -42,12 +42,12 @@
             if _has_method(request, "GET", reply):
                 self._health_check.answer(reply)
         elif path == SUBMIT_PATH or path.startswith(JOB_PATH_PREFIX):
-            self.forwarder.forward_or_handle(request, reply, self.on_user)
+            self.forwarder.forward_or_handle(request, reply, self.on_user_request)
         else:
             reply(HTTPStatus.NOT_FOUND, error_body("no such path"))
 
-    def on_user(self, request: Request, reply: Reply) -> None:
-        """Carry out a user's request on this node."""
+    def on_user_request(self, request: Request, reply: Reply) -> None:
+        """Handle a user's request on this node."""
         path = request.path
         if path == SUBMIT_PATH:
             if _has_method(request, "POST", reply):
@@ -62,7 +62,7 @@
 
 
 def _has_method(request: Request, method: str, reply: Reply) -> bool:
-    """Whether a request has the method that its path allows; it has been refused otherwise."""
+    """Check whether a request has the method that its path allows, and reject the request if it has not."""
     if request.method == method:
         return True
     reply(HTTPStatus.METHOD_NOT_ALLOWED, error_body(f"use {method}"))
--- a/tealhook/context.py
+++ b/tealhook/context.py
@@ -1,4 +1,4 @@
-"""The context of every component of a controller: clock, random numbers and calls, settings, and policy."""
+"""The context that a controller's components share: effects, settings and policy."""
 
 from __future__ import annotations
 
@@ -10,40 +10,40 @@
 from tealhook.settings.platform import Workers
 from tealhook.wire.cloud import MachineType
 
-BEGIN_S = 240.0  # the users' rule: every job begins within four minutes
+MAX_START_DELAY_S = 240.0  # users require that every job starts within four minutes
 
 
 class PolicyValues:
-    """The operators' policy, evaluated over the settings and the machine types on offer."""
+    """The operators' policy, evaluated with the settings and the offered machine types."""
 
     def __init__(self, policy: Policy, settings: Settings, machine_types: Mapping[str, MachineType]) -> None:
-        """`machine_types` is read at each evaluation: it is filled, and changes, while the process runs."""
+        """Initialize; `machine_types` is read at each evaluation, since it changes while the process runs."""
         self._policy = policy
         self._params = settings.params
         self._machine_types = machine_types
-        self._guarantees_matter = any(objective.kind == "guarantee" for objective in settings.params.objectives)
+        self._has_guarantee_objective = any(objective.kind == "guarantee" for objective in settings.params.objectives)
 
     def value(self, rule: str, variables: Mapping[str, float] | None = None) -> float:
-        """The present value of a rule, over `variables` where the caller knows more than `self.variables()`."""
+        """Return the current value of a rule, evaluated with `variables` or by default with `self.variables()`."""
         return self._policy.value(rule, variables if variables is not None else self.variables())
 
     @property
     def boot_s(self) -> float:
-        """Seconds that a new machine usually needs, the least over the types on offer."""
-        least = min((machine_type.boot_s for machine_type in self._machine_types.values()), default=0.0)
-        return least or self._params.workers.lease_s
+        """The usual boot time of the offered machine type that boots fastest, or the worker lease if none is known."""
+        min_boot_s = min((machine_type.boot_s for machine_type in self._machine_types.values()), default=0.0)
+        return min_boot_s or self._params.workers.lease_s
 
     def variables(self) -> dict[str, float]:
-        """The variables of the policy that every component knows."""
+        """Return the policy variables that are the same for all components."""
         params = self._params
         return {
             "report_s": params.workers.report_s,
             "lease_s": params.workers.lease_s,
             "cancel_s": params.workers.cancel_s,
-            "begin_s": BEGIN_S,
+            "begin_s": MAX_START_DELAY_S,
             "boot_s": self.boot_s,
-            # Without an objective for starts within a guarantee, no machines are rented ahead for guaranteed work.
-            "guaranteed": sum(team.cpus for team in params.teams) if self._guarantees_matter else 0.0,
+            # Without an objective for starts within a guarantee, no machines are rented in advance for guaranteed CPUs.
+            "guaranteed": sum(team.cpus for team in params.teams) if self._has_guarantee_objective else 0.0,
             "limit": sum(team.cpus_max for team in params.teams),
             "machine": max((machine_type.vcpus for machine_type in self._machine_types.values()), default=0.0),
         }
@@ -51,19 +51,19 @@
 
 @dataclass(frozen=True, slots=True)
 class NodeContext:
-    """The context that all components of one controller process share."""
+    """The effects, settings and policy of one controller process."""
 
     effects: Effects
     settings: Settings
     policy: PolicyValues
-    incarnation: int  # names this process among all that ever run under the node's name
+    incarnation: int  # random id that tells this process from all others of the node
 
     @property
     def node(self) -> str:
-        """The name of this controller."""
+        """The name of this controller's node."""
         return self.settings.node
 
     @property
     def workers(self) -> Workers:
-        """Heartbeat period, lease and cancellation bound of the workers."""
+        """The heartbeat period, lease and cancellation bound of workers."""
         return self.settings.params.workers
--- a/tealhook/controller.py
+++ b/tealhook/controller.py
@@ -1,4 +1,4 @@
-"""One controller: its components, who depends on whom, and how ownership and job changes reach them."""
+"""A controller: the wiring of its components, and the dispatch of ownership and job changes to them."""
 
 from __future__ import annotations
 
@@ -23,20 +23,20 @@
 from tealhook.wire.cloud import MachineType
 
 MAX_ZONES = 256
-MAX_ZONE_LENGTH = 64
-MAX_RECENT_READS = 1000  # of jobs that are not in the job index; beyond that all are forgotten
+MAX_ZONE_NAME_LENGTH = 64
+MAX_RECENT_READS = 1000  # jobs missing in the job index whose last read is tracked; beyond it the tracking is cleared
 INCARNATION_BITS = 62
 
 
 class Controller:
-    """Everything that one node decides. It touches the world through `Effects` alone."""
+    """The controller of one node; it uses the clock, the network and random numbers only through `Effects`."""
 
     def __init__(self, effects: Effects, settings: Settings, policy: Policy) -> None:
-        """Build every component of one controller on `effects` and connect them; nothing runs before `start`."""
+        """Build and connect the components of a controller; nothing runs before `start`."""
         self.settings = settings
-        self.machine_types: dict[str, MachineType] = {}  # on offer; kept up to date by the fleet manager
-        self._progress: dict[str, wire.JobProgress] = {}  # of active jobs; kept up to date by gossip
-        self._last_read_at: dict[str, float] = {}  # job -> when its record was last read for a worker that has tasks
+        self.machine_types: dict[str, MachineType] = {}  # offered types by name; updated by the fleet manager
+        self._progress: dict[str, wire.JobProgress] = {}  # active job -> progress; updated by gossip
+        self._last_read_at: dict[str, float] = {}  # job -> time of the last read of its record by `on_unknown_job`
         context = self.context = NodeContext(
             effects,
             settings,
@@ -79,21 +79,21 @@
             HealthCheck(context, self.state_client, self.job_index, peers),
             RequestForwarder(context, self.state_client, self.mesh, self.version_agreement, peers),
         )
-        self.on_request = self.api.on_request  # called for every request of users, workers and health checks
+        self.on_request = self.api.on_request  # handler of all HTTP requests
         handler = MeshHandler(
-            gossip_receiver, self.team_scheduler, self.partition_manager, self.fleet_manager, self.api.on_user
+            gossip_receiver, self.team_scheduler, self.partition_manager, self.fleet_manager, self.api.on_user_request
         )
         self.mesh.start(handler)
 
     def start(self) -> None:
-        """Begin to read the state store, to claim ownership keys, and to gossip twice per heartbeat period."""
+        """Start reading the state store, claiming ownership keys and sending gossip twice per heartbeat period."""
         self.job_index.start(self)
         self.ownership.start(self, self.partition_manager)
         self.version_agreement.start()
         every(self.context.effects, self.context.workers.report_s / 2, self.gossip_sender.send)
 
     def on_ownership_change(self, key: str, token: int | None) -> None:
-        """Tell the component to which a key belongs; this is the OwnershipObserver of `Ownership`."""
+        """Notify the component that a key belongs to of a change of ownership, as the observer of `Ownership`."""
         if key == FLEET_KEY:
             self.fleet_manager.on_ownership_change(token)
         elif key.startswith(PARTITION_PREFIX):
@@ -102,19 +102,19 @@
             self.team_scheduler.on_ownership_change(key[len(TEAM_PREFIX) :], token)
 
     def on_unowned_zone(self, zone: str) -> None:
-        """A heartbeat names a zone: it gets an ownership key, unless the name is malformed or zones are too many."""
-        is_valid = 0 < len(zone) <= MAX_ZONE_LENGTH and not any(c.isspace() or c == "/" for c in zone)
+        """Add an ownership key for a heartbeat's zone, unless its name is malformed or there are too many zones."""
+        is_valid = 0 < len(zone) <= MAX_ZONE_NAME_LENGTH and not any(c.isspace() or c == "/" for c in zone)
         if is_valid and len(self.ownership.zones()) < MAX_ZONES:
             self.ownership.add_key(PARTITION_PREFIX + zone)
 
     def on_job_changed(self, job_id: str) -> None:
-        """The job index has a change of a job: it is passed to the team's scheduler, if that is here."""
+        """Notify the team scheduler of a job's change in the job index, and drop the progress of an inactive job."""
         if self.job_index.status(job_id) != JobState.ACTIVE:
             self._progress.pop(job_id, None)
         self.team_scheduler.on_job_changed(job_id)
 
     def publish_status(self, team: str, update: wire.StatusUpdate) -> None:
-        """Send a status update to the node that owns a team's scheduler; none is sent while no node does."""
+        """Send a status update to the owner of a team's scheduler, or drop it if there is no known owner."""
         owner = self.ownership.owner(team_key(team))
         if owner is not None:
             self.mesh.send(owner, update)
@@ -123,7 +123,7 @@
         self.mesh.broadcast(wire.MachinesReleased(machines))
 
     def on_unknown_job(self, job: str) -> None:
-        """A worker has a task of a job that is not in our job index: read the job's record from the state service."""
+        """Read the record of a job from the state store, since a worker has a task of it but the job index lacks it."""
         now = self.context.effects.now()
         if (
             now - self._last_read_at.get(job, LONG_AGO_S) < self.context.workers.lease_s / 8
--- a/tealhook/coordination/__init__.py
+++ b/tealhook/coordination/__init__.py
@@ -1,4 +1,4 @@
-"""Coordination of the controllers: leases, ownership of keys, fencing tokens and agreed versions."""
+"""Coordination of controllers: node leases, ownership keys, fencing tokens and version agreement."""
 
 from tealhook.coordination.ownership import Ownership
 from tealhook.coordination.ownership_keys import FLEET_KEY, partition_key, team_key
--- a/tealhook/coordination/key_claimer.py
+++ b/tealhook/coordination/key_claimer.py
@@ -1,7 +1,7 @@
-"""Claims ownership keys without an owner under this node's lease, and hands own keys over to others.
+"""Claims of unowned keys under this node's lease, and releases of owned keys to other nodes.
 
-Ownership changes for balance one key at a time, and only while the set of live nodes is stable. Nothing here declares a
-node dead: only the expiry of its lease in the state store does.
+To balance the load, keys change owners one at a time, and only while the set of live nodes is stable. No decision here
+declares a node dead: only the expiry of its lease in the state store does.
 """
 
 from __future__ import annotations
@@ -15,38 +15,39 @@
 from tealhook.coordination.lease import NodeLease, node_lease_ttl_s
 from tealhook.coordination.owned_keys import OwnedKeys
 from tealhook.coordination.ownership_keys import FLEET_KEY, PARTITION_PREFIX, TEAM_PREFIX, node_key
-from tealhook.coordination.ownership_view import OwnershipRecord, OwnershipView, stored_value
+from tealhook.coordination.ownership_view import OwnershipRecord, OwnershipView, record_value
 from tealhook.loop.effects import LONG_AGO_S
 from tealhook.state_store import CallPriority, Outcome, StateClient, TransactionResult
 from tealhook.wire import state as wire
 
 log = logging.getLogger(__name__)
 
-MAX_CLAIMS = 8  # in one transaction
-CLAIM_RETRIES_PER_LEASE = 12  # after the state store rejected a claim
-UNREACHABLE_LEASES = 0.5  # how long no owner of a partition is reached before teams are released
-HANDOVER_INTERVAL_LEASES = 0.5  # at least so long between two keys handed over
-RELEASE_COOLDOWN_LEASES = 12  # how long a key is left to others after it was released because no worker is heard here
+# Times in leases are multiples of the time to live of a node's lease.
+MAX_CLAIMS_PER_TRANSACTION = 8
+CLAIM_RETRIES_PER_LEASE = 12  # rate of claims after the state store rejected one
+TEAM_RELEASE_DELAY_LEASES = 0.5  # time without any reachable owner of a partition before teams are released
+MIN_HANDOVER_INTERVAL_LEASES = 0.5
+RELEASE_COOLDOWN_LEASES = 12  # time before this node claims a key again that it released for silent workers
 
 
 class Reachability(Protocol):
-    """Which nodes can be reached from this one."""
+    """Source of which nodes can be reached from this one."""
 
     def is_reachable(self, node: str) -> bool:
-        """Whether a message of the node came lately; this node itself is always reachable."""
+        """Check whether a message of the node arrived recently; this node itself is always reachable."""
         ...
 
 
 class ZoneHeartbeats(Protocol):
-    """Whether heartbeats of workers arrive at this node."""
+    """Source of which zones have workers whose heartbeats arrive at this node."""
 
     def is_silent(self, zone: str | None) -> bool:
-        """Whether none of a zone's workers, or for None of all zones', is heard here."""
+        """Check whether no worker of a zone, or of any zone if it is None, sends heartbeats to this node."""
         ...
 
 
 class KeyClaimer:
-    """Decides which keys to claim and which to release, and writes that to the state store."""
+    """Decides which keys to claim and which to release, and writes these changes to the state store."""
 
     def __init__(
         self,
@@ -58,7 +59,7 @@
         reachability: Reachability,
         heartbeats: ZoneHeartbeats,
     ) -> None:
-        """Nothing is written before the first `review`."""
+        """Initialize without any request; nothing is written before the first `review`."""
         self._effects = context.effects
         self._store = store
         self._view = view
@@ -71,25 +72,25 @@
         self._incarnation = f"{context.incarnation:x}"
         self._zone = context.settings.domain
         self._node_lease_ttl_s = node_lease_ttl_s(context)
-        self._is_writing = False
-        self._max_claims = MAX_CLAIMS  # of one transaction; fewer after one was rejected
-        self._claim_not_before = LONG_AGO_S  # a rejected claim is not repeated before
-        self._handed_over_at = LONG_AGO_S
-        self._avoided_until: dict[str, float] = {}  # keys released because no worker is heard, not to be claimed before
-        self._unreachable_since: float | None = None  # since when no owner of a partition can be reached
+        self._is_claiming = False
+        self._max_claims = MAX_CLAIMS_PER_TRANSACTION  # lowered by rejected claims, raised by committed ones
+        self._claim_not_before = LONG_AGO_S  # time of the next attempt after a rejected claim
+        self._last_handover_at = LONG_AGO_S
+        self._cooldown_until: dict[str, float] = {}  # released key of silent workers -> earliest time of its next claim
+        self._unreachable_since: float | None = None  # start of the time in which no owner of a partition is reachable
 
     def review(self) -> None:
-        """Claim keys that have no owner; if there are none to claim, hand a key over where that is due."""
+        """Claim keys that have no owner; if there are none, release one key where that is due."""
         now = self._effects.now()
         if (
             self._lease.lease_id is None
-            or self._is_writing
+            or self._is_claiming
             or not self._view.watcher.synced
             or now < self._claim_not_before
         ):
             return
         if not self._view.is_registered:
-            # The registration of a former process of this name must be gone first.
+            # The registration of the previous process of this node must be deleted first.
             if not self._view.has_record(self._node_key):
                 self._claim([self._node_key])
             return
@@ -97,7 +98,8 @@
         plan = plan_owners(self._view.keys(), live)
         all_partitions_unreachable = self._all_partitions_unreachable(now)
         if not self._is_isolated(live):
-            self._avoided_until.clear()  # others hand keys back from now on, and expect them to be claimed
+            # Reachable peers hand keys over for balance again, and rely on the planned owner to claim them.
+            self._cooldown_until.clear()
         keys = [key for key, owner in plan.items() if self._should_claim(key, owner, all_partitions_unreachable, now)]
         if keys:
             self._claim(keys[: max(1, min(self._store.max_operations - 1, self._max_claims))])
@@ -109,24 +111,24 @@
     def _should_claim(self, key: str, planned_owner: str, all_partitions_unreachable: bool, now: float) -> bool:
         if self._view.has_record(key):
             return False
-        if all_partitions_unreachable and key.startswith(TEAM_PREFIX) or self._avoided_until.get(key, now) > now:
+        if all_partitions_unreachable and key.startswith(TEAM_PREFIX) or self._cooldown_until.get(key, now) > now:
             return False
-        # A key planned for another node is claimed only if that node has not claimed it for longer than a lease lives.
-        return planned_owner == self._node or self._view.absent_s(key, now) > self._node_lease_ttl_s
+        # A key that is planned for another node is claimed only after that node left it unowned for a whole lease.
+        return planned_owner == self._node or self._view.unowned_s(key, now) > self._node_lease_ttl_s
 
     def _claim(self, keys: list[str]) -> None:
-        """Compare and swap: claim keys that nobody owns, on the condition that this process is still registered."""
-        self._is_writing = True
-        value = stored_value(self._node, self._incarnation, self._zone)
+        """Claim keys by compare-and-swap, on condition that they are unowned and this process is still registered."""
+        self._is_claiming = True
+        value = record_value(self._node, self._incarnation, self._zone)
         conditions = dict.fromkeys(keys, 0)
         registration = self._view.token(self._node_key)
         if self._node_key not in conditions and registration is not None:
             conditions[self._node_key] = registration
 
-        def done(result: TransactionResult) -> None:
-            self._is_writing = False
+        def on_result(result: TransactionResult) -> None:
+            self._is_claiming = False
             if result.outcome is Outcome.COMMITTED:
-                self._max_claims = min(MAX_CLAIMS, 2 * self._max_claims)
+                self._max_claims = min(MAX_CLAIMS_PER_TRANSACTION, 2 * self._max_claims)
                 self._view.record_claims(keys, OwnershipRecord.parse(value, result.revision))
             elif result.outcome is Outcome.REJECTED:
                 self._max_claims = max(1, len(keys) // 2)
@@ -135,18 +137,18 @@
                 remaining = [key for key in keys if key not in result.failed_keys]
                 if remaining and len(remaining) < len(keys):
                     self._claim(remaining)
-            # Otherwise the watch shows what became of it.
+            # After any other outcome the watch shows whether the claim was committed.
 
         puts = [wire.put(key, value, self._lease.lease_id) for key in keys]
-        self._store.transact(conditions, puts, CallPriority.RENEW, done)
+        self._store.transact(conditions, puts, CallPriority.RENEW, on_result)
 
     # -- failover by network partitions
 
     def _all_partitions_unreachable(self, now: float) -> bool:
-        """Whether no owner of a partition can be reached for a while, so that a team's scheduler could place nothing.
+        """Check whether no owner of a partition has been reachable for a while.
 
-        This does not declare any node dead: our teams' keys are deleted, and a node that reaches a partition claims
-        them.
+        The scheduler of a team could then place nothing, so this node releases its teams, and a node that reaches a
+        partition claims them. No node is declared dead by this.
         """
         owners = self._view.partition_owners()
         if not owners or any(self._reachability.is_reachable(node) for node in owners):
@@ -154,13 +156,14 @@
             return False
         if self._unreachable_since is None:
             self._unreachable_since = now
-        return now - self._unreachable_since > self._node_lease_ttl_s * UNREACHABLE_LEASES
+        return now - self._unreachable_since > self._node_lease_ttl_s * TEAM_RELEASE_DELAY_LEASES
 
-    def _is_useless_here(self, key: str, live: Mapping[str, str]) -> bool:
-        """Whether an own key should be released: no worker is heard, nor any peer that would relay their heartbeats.
+    def _is_cut_off_from_workers(self, key: str, live: Mapping[str, str]) -> bool:
+        """Check whether a key's workers are silent here and no peer is reachable that would relay their heartbeats.
 
-        The state store still serves us, so nobody else would ever take the key over. While a peer is reached, workers
-        that are heard nowhere are behind a network partition themselves, and another owner would hear no more of them.
+        Such a key must be released: as long as the state store serves this node, its lease does not expire, and no
+        other node could take the key over. While a peer is reachable the key is kept: workers that no node hears are
+        behind a network partition themselves, and a new owner would be as cut off from them.
         """
         if not self._is_isolated(live):
             return False
@@ -169,41 +172,41 @@
         return key == FLEET_KEY and self._heartbeats.is_silent(None)
 
     def _is_isolated(self, live: Mapping[str, str]) -> bool:
-        """Whether other nodes are registered, and none of them can be reached from here."""
+        """Check whether other nodes are registered and none of them is reachable from this one."""
         peers = [node for node in live if node != self._node]
         return bool(peers) and not any(self._reachability.is_reachable(node) for node in peers)
 
-    # -- handing over
+    # -- handover
 
     def _hand_over(self, plan: Mapping[str, str], all_partitions_unreachable: bool, now: float) -> None:
-        """Release one key, at most one per half lease and only while the set of live nodes is stable."""
+        """Release at most one key, if the set of live nodes is stable and the last handover is long enough ago."""
         if (
             not self._view.is_stable(now)
-            or now - self._handed_over_at < self._node_lease_ttl_s * HANDOVER_INTERVAL_LEASES
+            or now - self._last_handover_at < self._node_lease_ttl_s * MIN_HANDOVER_INTERVAL_LEASES
         ):
             return
         live = self._view.live_nodes()
         for key, token in self._owned.tokens().items():
             must_release = all_partitions_unreachable and key.startswith(TEAM_PREFIX)
-            if self._is_useless_here(key, live):
+            if self._is_cut_off_from_workers(key, live):
                 must_release = True
-                self._avoided_until[key] = now + RELEASE_COOLDOWN_LEASES * self._node_lease_ttl_s
+                self._cooldown_until[key] = now + RELEASE_COOLDOWN_LEASES * self._node_lease_ttl_s
             planned_owner = plan.get(key, self._node)
             if must_release:
-                log.info("releasing ownership of %s to any node that reaches more", key)
+                log.info("releasing ownership of %s: the partitions or workers that it needs are unreachable", key)
             elif planned_owner != self._node and self._reachability.is_reachable(planned_owner):
                 log.info("handing ownership of %s over to %s", key, planned_owner)
             else:
                 continue
-            self._handed_over_at = now
+            self._last_handover_at = now
             self._release(key, token)
             return
 
     def _release(self, key: str, token: int) -> None:
-        # Not at the lowest priority: on a node that has taken over everything, assignments use up the rate limits, so
-        # it would never hand anything over.
+        # The lowest priority would be too low: on a node that has taken over all keys, writes of assignments use up the
+        # rate limit, and no key would ever be handed over.
         self._store.transact({key: token}, [wire.delete(key)], CallPriority.ADMIT, _ignore_result)
 
 
 def _ignore_result(_result: TransactionResult) -> None:
-    """The watch shows what became of it, and the next review tries again."""
+    """Ignore the result: the watch shows whether the key was released, and if not, the next review tries again."""
--- a/tealhook/coordination/owned_keys.py
+++ b/tealhook/coordination/owned_keys.py
@@ -1,4 +1,4 @@
-"""The keys that this node owns, as its components have been told."""
+"""The keys that this node owns, as last reported to its components."""
 
 from __future__ import annotations
 
@@ -9,32 +9,33 @@
 
 
 class OwnershipObserver(Protocol):
-    """Told of each change of what this node owns."""
+    """Receiver of changes of the keys that this node owns."""
 
     def on_ownership_change(self, key: str, token: int | None) -> None:
-        """This node owns `key` under fencing token `token`, or with None no longer owns it."""
+        """Handle that this node owns `key` under the fencing token `token`, or with None that it no longer does."""
         ...
 
 
 class OwnedKeys:
-    """Own keys and their fencing tokens."""
+    """Keys that this node owns, with their fencing tokens."""
 
     def __init__(self) -> None:
-        """Nothing is owned at first."""
+        """Initialize without any owned key."""
         self._tokens: dict[str, int] = {}
 
     def token(self, key: str) -> int | None:
-        """The fencing token of a key that this node owns."""
+        """Return the fencing token of an owned key, or None if this node does not own the key."""
         return self._tokens.get(key)
 
     def tokens(self) -> dict[str, int]:
-        """All own keys with their fencing tokens."""
+        """Return all owned keys with their fencing tokens."""
         return dict(self._tokens)
 
     def update(self, tokens: dict[str, int], observer: OwnershipObserver) -> None:
-        """Make `tokens` the own keys, and tell the observer of the differences: losses first.
+        """Replace the owned keys by `tokens` and report the differences to the observer, losses first.
 
-        A key with a new token is lost and acquired, since another node may have owned it in between.
+        A key with a new token is reported as lost and then as acquired, since another node may have owned it in
+        between.
         """
         for key, token in list(self._tokens.items()):
             if tokens.get(key) != token:
--- a/tealhook/coordination/ownership.py
+++ b/tealhook/coordination/ownership.py
@@ -1,4 +1,4 @@
-"""Ownership of partitions, teams and the fleet: one lease a node, and ownership keys claimed under it.
+"""Ownership of partitions, teams and the fleet by keys that nodes claim, each under its one lease.
 
 The revision of an ownership key at its claim is the owner's fencing token.
 """
@@ -17,17 +17,17 @@
 from tealhook.loop.effects import every
 from tealhook.state_store import StateClient
 
-REVIEWS_PER_LEASE = 6  # of what to claim and what to hand over
-SUSPENSION_LEASES = 0.5  # without a review for so long, this process was suspended
+REVIEWS_PER_LEASE = 6  # rate of the reviews of keys to claim or to release, per node lease
+SUSPENSION_LEASES = 0.5  # time without a review, in node leases, that shows a suspension of this process
 
 
 class Ownership:
-    """What other components ask about ownership, and the timer that keeps this node's part of it up to date."""
+    """The component that answers questions about ownership and that keeps this node's own keys up to date."""
 
     def __init__(
         self, context: NodeContext, store: StateClient, view: OwnershipView, reachability: Reachability
     ) -> None:
-        """Nothing is read or claimed before `start`."""
+        """Initialize without any request; nothing is read or claimed before `start`."""
         self._context = context
         self._effects = context.effects
         self._store = store
@@ -40,11 +40,14 @@
         self._suspension = SuspensionDetector(self.node_lease_ttl_s * SUSPENSION_LEASES, context.effects.now())
 
     def start(self, observer: OwnershipObserver, heartbeats: ZoneHeartbeats) -> None:
-        """End what an earlier process of this node's name owns, then register and claim keys; `observer` is told."""
+        """Revoke the lease of the previous process of this node, then register and claim keys.
+
+        Each change of the keys that this node owns is reported to `observer`.
+        """
         claimer = KeyClaimer(
             self._context, self._store, self._view, self._lease, self._owned, self._reachability, heartbeats
         )
-        self._lease.revoke_former(partial(self._begin, observer, partial(self._review, claimer)))
+        self._lease.revoke_predecessor(partial(self._begin, observer, partial(self._review, claimer)))
 
     def _begin(self, observer: OwnershipObserver, review: Callable[[], None]) -> None:
         self._view.start(partial(self._on_view_change, observer, review))
@@ -64,42 +67,43 @@
         self._store.set_share(max(1, len(self._view.live_nodes())), owned_team_share)
         self._effects.later(0.0, review)
 
-    # -- own keys
+    # -- keys of this node
 
     def own_token(self, key: str) -> int | None:
-        """This node's fencing token for a key that it owns."""
+        """Return this node's fencing token for a key, or None if this node does not own the key."""
         return self._owned.token(key)
 
     def own_tokens(self) -> dict[str, int]:
-        """This node's keys and fencing tokens, as sent to the other controllers."""
+        """Return the keys that this node owns with their fencing tokens, as sent to the other controllers."""
         return self._owned.tokens()
 
     @property
     def is_lease_uncertain(self) -> bool:
-        """Whether this process was suspended so long that its lease may have expired and others may own its keys.
+        """True if this process was suspended so long that its lease may have expired and others may own its keys.
 
-        After a suspension overdue timers may run before the sockets are read. This guards against decisions on
-        ownership that has ended: nothing is rented, returned or started until a view requested since has arrived.
-        An outage of the state store does not count: nobody can take anything over then.
+        After a suspension overdue timers may run before the sockets are read. This guards against decisions based on
+        ownership that has ended: no machine is rented or released and no task is started until a view that was
+        requested after the suspension has arrived. An outage of the state store does not count: no other node can take
+        a key over during it.
         """
         return self._view.watcher.viewed_at < self._suspension.last_detected_at(self._effects.now())
 
-    # -- everybody's keys
+    # -- keys of all nodes
 
     def owner(self, key: str) -> str | None:
-        """The node that owns a key as far as known."""
+        """Return the last known owner of a key, or None if no node owns it."""
         return self._view.owner(key)
 
     def token(self, key: str) -> int | None:
-        """The owner's fencing token as far as known, whoever the owner is."""
+        """Return the last known fencing token of a key, whichever node owns it."""
         return self._view.token(key)
 
     def zones(self) -> list[str]:
-        """Every zone that has, or should have, a partition."""
+        """Return all zones whose partition has, or should have, an owner."""
         return self._view.zones()
 
     def is_reachable(self, node: str) -> bool:
-        """Whether a node can be reached from this one, as far as known."""
+        """Check whether a message of a node arrived recently."""
         return self._reachability.is_reachable(node)
 
     def add_key(self, key: str) -> None:
@@ -107,9 +111,10 @@
         self._view.add_key(key)
 
     def merge_peer_tokens(self, node: str, tokens: dict[str, int]) -> None:
-        """Learn the keys of a peer. A token above ours ends our ownership, even while the state store can't be read.
+        """Merge the keys and fencing tokens that a peer reports into the view.
 
-        Without this, an owner behind a network partition from the state store alone would keep its workers by answering
-        them, and the new owner would take their machines for lost.
+        A token above that of this node ends its ownership of the key, even while the state store cannot be read.
+        Otherwise an owner that a network partition cuts off from the state store alone would go on answering its
+        workers, and the new owner, which they do not contact, would consider their machines lost.
         """
         self._view.merge_peer_tokens(node, tokens)
--- a/tealhook/coordination/ownership_keys.py
+++ b/tealhook/coordination/ownership_keys.py
@@ -1,7 +1,7 @@
 """Keys of ownership records in the state store.
 
-The strings are stored and shared with other versions: `own/part/` is the prefix of partitions, `own/home/` that of
-teams, that is, of their schedulers.
+The keys are shared with controllers of other versions and therefore fixed: `own/part/` is the prefix of partitions, and
+`own/home/` that of teams, whose owner runs the team's scheduler.
 """
 
 from __future__ import annotations
@@ -14,15 +14,15 @@
 
 
 def partition_key(zone: str) -> str:
-    """The ownership key of a zone's partition."""
+    """Return the ownership key of a zone's partition."""
     return PARTITION_PREFIX + zone
 
 
 def team_key(team: str) -> str:
-    """The ownership key of a team's scheduler."""
+    """Return the ownership key of a team's scheduler."""
     return TEAM_PREFIX + team
 
 
 def node_key(node: str) -> str:
-    """The key under which a node is registered."""
+    """Return the key of a node's registration."""
     return NODE_PREFIX + node
--- a/tealhook/coordination/stability.py
+++ b/tealhook/coordination/stability.py
@@ -1,41 +1,44 @@
-"""Whether the set of live nodes has been the same for long enough that keys may be handed back."""
+"""Stability of the set of live nodes, as a condition for moving keys between them."""
 
 from __future__ import annotations
 
 from collections import deque
 from collections.abc import Iterable
 
-STABLE_AFTER_LEASES = 2  # how long the set has to stay the same
-LOSS_MEMORY_LEASES = 30  # how long the loss of a node is remembered
-MAX_STABILITY_DOUBLINGS = 2  # of the time without changes that is required after repeated losses of one node
+STABLE_AFTER_LEASES = 2  # time without a change, in node leases, after which the set counts as stable
+LOSS_RETENTION_LEASES = 30  # time, in node leases, for which the loss of a node counts as recent
+MAX_STABILITY_DOUBLINGS = 2  # of the time without a change, for a node that is lost repeatedly
 
 
 class MembershipStability:
-    """Changes of the set of live nodes, and how long it has to stay the same after them.
+    """Recent changes of the set of live nodes, and the time without changes that they require.
 
-    This guards against flapping: a node that loses the state store again and again would else be given its keys back
-    each time. All that it owned changed owners eight times in two minutes, each time with a failover of machines and
-    jobs.
+    The required time grows with repeated losses of the same node. This guards against flapping: a node that loses the
+    state store repeatedly was given its keys back each time, and each of them changed owners eight times in two
+    minutes, each time with a failover of machines and jobs.
     """
 
     def __init__(self, node_lease_ttl_s: float, now: float) -> None:
-        """`node_lease_ttl_s`: of the leases in the state store under which nodes are registered."""
+        """Initialize at time `now`; `node_lease_ttl_s` is the time to live of the leases under which nodes register."""
         self._node_lease_ttl_s = node_lease_ttl_s
-        self._changed_at = now
-        self._losses: dict[str, deque[float]] = {}  # node -> when its registration was lost lately
+        self._last_change_at = now
+        self._losses: dict[str, deque[float]] = {}  # node -> times at which its registration was last lost
 
     def record_change(self, before: Iterable[str], after: Iterable[str], now: float) -> None:
-        """Record the set of live nodes before and after an event; nothing happens when they are the same."""
+        """Record the set of live nodes before and after an event; do nothing if they are equal."""
         previous, live = set(before), set(after)
         if previous == live:
             return
-        self._changed_at = now
+        self._last_change_at = now
         for node in previous - live:
             self._losses.setdefault(node, deque(maxlen=MAX_STABILITY_DOUBLINGS + 1)).append(now)
 
     def is_stable(self, now: float) -> bool:
-        """Whether nothing has changed for long enough: twice as long with each further loss of the same node."""
-        since = now - LOSS_MEMORY_LEASES * self._node_lease_ttl_s
-        losses = max((sum(at >= since for at in times) for times in self._losses.values()), default=0)
+        """Check whether the set has not changed for long enough.
+
+        The required time doubles with each further recent loss of the same node, up to `MAX_STABILITY_DOUBLINGS` times.
+        """
+        retained_since = now - LOSS_RETENTION_LEASES * self._node_lease_ttl_s
+        losses = max((sum(at >= retained_since for at in times) for times in self._losses.values()), default=0)
         doublings = min(max(0, losses - 1), MAX_STABILITY_DOUBLINGS)
-        return now - self._changed_at > STABLE_AFTER_LEASES * self._node_lease_ttl_s * 2**doublings
+        return now - self._last_change_at > STABLE_AFTER_LEASES * self._node_lease_ttl_s * 2**doublings
--- a/tealhook/coordination/suspension.py
+++ b/tealhook/coordination/suspension.py
@@ -1,4 +1,4 @@
-"""Detects that this process was suspended, by a pause of the machine or of the loop."""
+"""Detection of suspensions of this process, by a pause of the machine or a blocked event loop."""
 
 from __future__ import annotations
 
@@ -6,20 +6,20 @@
 
 
 class SuspensionDetector:
-    """Compares the clock with the last run of a frequent timer."""
+    """Detector that compares the clock with the last run of a frequent timer."""
 
     def __init__(self, limit_s: float, now: float) -> None:
-        """A timer that has not run for longer than `limit_s` means that the process was suspended."""
+        """Initialize at time `now`; a timer that has not run for more than `limit_s` means a suspension."""
         self._limit_s = limit_s
-        self._ran_at = now
-        self._detected_at = LONG_AGO_S
+        self._last_run_at = now
+        self._last_detected_at = LONG_AGO_S
 
     def record_run(self, now: float) -> None:
-        """Note that the timer runs."""
-        self._ran_at = now
+        """Record a run of the timer."""
+        self._last_run_at = now
 
     def last_detected_at(self, now: float) -> float:
-        """When a suspension was last detected; detects one that has just ended."""
-        if now - self._ran_at > self._limit_s:
-            self._ran_at = self._detected_at = now
-        return self._detected_at
+        """Return the time at which a suspension was last detected; one that has just ended is detected by this call."""
+        if now - self._last_run_at > self._limit_s:
+            self._last_run_at = self._last_detected_at = now
+        return self._last_detected_at
--- a/tealhook/forwarding.py
+++ b/tealhook/forwarding.py
@@ -1,4 +1,4 @@
-"""Forwarding: users' requests that a peer decides while the state service serves that peer but not this node."""
+"""Forwarding of users' requests to a peer while the state store serves that peer but not this node."""
 
 from __future__ import annotations
 
@@ -12,11 +12,11 @@
 from tealhook.wire.job_parser import InvalidJobError, parse_job
 from tealhook.wire.users import SUBMIT_PATH
 
-FORWARD_TIMEOUT_S = 0.8  # a user gives up on a poll after 2 s; this leaves time to answer it here instead
+FORWARD_TIMEOUT_S = 0.8  # users abandon a poll after 2 s, so this leaves time for an answer by this node
 
 
 class RequestForwarder:
-    """Chooses the peer that decides users' requests, and forwards them."""
+    """Chooses the peer that handles users' requests, and forwards them to it."""
 
     def __init__(
         self,
@@ -26,7 +26,10 @@
         version_agreement: VersionAgreement,
         peers: PeerStates,
     ) -> None:
-        """`peers` says who can stand in, `versions` whether any of them may decide all requests."""
+        """Initialize; `peers` knows which peers the state store serves.
+
+        Until `version_agreement` is reached, some requests are not forwarded, since a peer could misread them.
+        """
         self._effects = context.effects
         self._lease_s = context.workers.lease_s
         self._store = store
@@ -35,43 +38,43 @@
         self._peers = peers
 
     def forward_or_handle(self, request: Request, reply: Reply, handle: RequestHandler) -> None:
-        """Forward a request if a peer is to decide it; `handle` it here if not, or if the peer does not reply."""
+        """Forward a request to a peer that the state store serves; `handle` it here if there is none, or no reply."""
         peer = self.choose_forwarding_peer()
-        if peer is None or not self._is_decided_alike(request):
+        if peer is None or not self._is_forwardable(request):
             handle(request, reply)
             return
 
-        def forwarded(answer: wire.Body | None) -> None:
+        def on_answer(answer: wire.Body | None) -> None:
             if isinstance(answer, wire.ForwardReply):
                 reply(answer.status, answer.body, answer.retry_after_s)
             else:
                 handle(request, reply)
 
         self._mesh.call(
-            peer, wire.ForwardRequest(request.method, request.target, request.body), FORWARD_TIMEOUT_S, forwarded
+            peer, wire.ForwardRequest(request.method, request.target, request.body), FORWARD_TIMEOUT_S, on_answer
         )
 
     def choose_forwarding_peer(self) -> str | None:
-        """The peer that decides users' requests while the state service serves it but not us; None: we decide.
+        """Return a peer that the state store serves, or None if it serves this node or no reachable peer.
 
-        This guards against refusing users whom another controller could serve: one that is refused retries only after
-        a second, and perhaps here again.
+        This guards against the refusal of users whom another controller could serve: a refused user retries only after
+        a second, and perhaps at this node again.
         """
         if self._store.is_served:
             return None
         now = self._effects.now()
         served_peers = [
-            (served_at, peer)
-            for peer, served_at in self._peers.served_at.items()
-            if now - served_at < self._lease_s / 4 and self._peers.is_reachable(peer)
+            (store_answered_at, peer)
+            for peer, store_answered_at in self._peers.store_answered_at.items()
+            if now - store_answered_at < self._lease_s / 4 and self._peers.is_reachable(peer)
         ]
         return max(served_peers)[1] if served_peers else None
 
-    def _is_decided_alike(self, request: Request) -> bool:
-        """Whether any peer decides a request as this node does.
+    def _is_forwardable(self, request: Request) -> bool:
+        """Check whether every peer would handle a request as this node does.
 
-        While a peer may run an earlier version, that one would accept a job that waits for others as one that does
-        not, and start it at once; or accept a submission that lacks a field.
+        A peer of an earlier version would ignore the dependencies of a submitted job and start it at once, or accept a
+        submission that lacks a field.
         """
         if request.method != "POST" or request.path != SUBMIT_PATH or self._version_agreement.all_upgraded:
             return True
--- a/tealhook/gossip/__init__.py
+++ b/tealhook/gossip/__init__.py
@@ -1,4 +1,4 @@
-"""Gossip: the periodic messages by which controllers tell each other their state."""
+"""Gossip: periodic messages that carry the state of each controller to all others."""
 
 from tealhook.gossip.fleet_inputs import FleetInputs
 from tealhook.gossip.peer_states import PeerStates
--- a/tealhook/gossip/receiver.py
+++ b/tealhook/gossip/receiver.py
@@ -1,4 +1,4 @@
-"""Received gossip: which component learns what from it."""
+"""Distribution of received gossip to the components of a controller."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class GossipReceiver:
-    """Gives the components of a controller what the gossip of all controllers contains for them."""
+    """Passes the contents of gossip to the components that use them."""
 
     def __init__(
         self,
@@ -24,7 +24,7 @@
         fleet_inputs: FleetInputs,
         progress: dict[str, wire.JobProgress],
     ) -> None:
-        """`progress`: of active jobs, for answers to users; kept up to date here."""
+        """Initialize; `progress` of active jobs, which answers to users show, is updated by `receive`."""
         self._context = context
         self._ownership = ownership
         self._job_index = job_index
@@ -34,14 +34,14 @@
         self._progress = progress
 
     def receive(self, gossip: wire.Gossip) -> None:
-        """Take in the gossip of a node, which may be this one.
+        """Process the gossip of a node, which may be this one.
 
-        The mesh has dropped what is older than an earlier one.
+        The mesh has dropped gossip that is older than the newest one of its sender.
         """
         now = self._context.effects.now()
         self._fleet_inputs.store(gossip, now)
         if gossip.node != self._context.node:
-            self._peers.served_at[gossip.node] = now - gossip.state_age_s
+            self._peers.store_answered_at[gossip.node] = now - gossip.state_age_s
             self._ownership.merge_peer_tokens(gossip.node, gossip.tokens)
         partitions = self._partition_manager.partitions
         for zone, addresses in gossip.addresses.items():
--- a/tealhook/gossip/sender.py
+++ b/tealhook/gossip/sender.py
@@ -1,4 +1,4 @@
-"""Sent gossip: what this controller tells all others, and the fleet's owner in particular."""
+"""Composition and sending of gossip to all controllers, with more details for the fleet's owner."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 @dataclass(frozen=True, slots=True)
 class GossipSources:
-    """The components whose state gossip describes."""
+    """The components whose state is sent as gossip."""
 
     ownership: Ownership
     store: StateClient
@@ -30,7 +30,7 @@
 
 
 class GossipSender:
-    """Sends gossip, and has the fleet planned where this controller owns it."""
+    """Sends gossip, and scales the fleet if this controller owns it."""
 
     def __init__(
         self,
@@ -40,7 +40,7 @@
         receiver: GossipReceiver,
         fleet_inputs: FleetInputs,
     ) -> None:
-        """`receiver` takes this controller's own gossip, `fleet_inputs` has that of all."""
+        """Initialize; `receiver` takes the gossip of this controller itself, `fleet_inputs` holds that of all."""
         self._effects = context.effects
         self._mesh = mesh
         self._sources = sources
@@ -48,7 +48,10 @@
         self._fleet_inputs = fleet_inputs
 
     def send(self) -> None:
-        """Send gossip to every controller, this one included; the fleet's owner is told demand and machines as well."""
+        """Send gossip to every controller, including this one; only the fleet's owner gets demand and machines.
+
+        If this controller owns the fleet, scale it afterwards.
+        """
         now = self._effects.now()
         ownership = self._sources.ownership
         fleet_owner = ownership.owner(FLEET_KEY)
@@ -71,7 +74,7 @@
             self._scale_fleet(now)
 
     def _compose(self, now: float) -> tuple[wire.Gossip, wire.Gossip]:
-        """What every controller is told, and the same with what only the fleet's owner is told."""
+        """Return the gossip for every controller, and the same with the details for the fleet's owner."""
         sources = self._sources
         progress = sources.team_scheduler.progress()
         usage = sources.team_scheduler.usage()
@@ -91,6 +94,7 @@
         return common, detailed
 
     def _scale_fleet(self, now: float) -> None:
+        """Rent and release machines by the gossip of all controllers."""
         snapshot = self._fleet_inputs.snapshot(now)
         self._sources.fleet_manager.scale(
             snapshot.machines, snapshot.usage, snapshot.demand, snapshot.zones, snapshot.non_spot_demand
--- a/tealhook/health_check.py
+++ b/tealhook/health_check.py
@@ -1,4 +1,4 @@
-"""Health checks: whether this controller should be sent requests."""
+"""Health checks, which tell a load balancer whether to send requests to this controller."""
 
 from __future__ import annotations
 
@@ -11,14 +11,14 @@
 from tealhook.state_store import StateClient
 from tealhook.wire.common import error_body
 
-RETRY_AFTER_S = 1
+UNHEALTHY_RETRY_AFTER_S = 1
 
 
 class HealthCheck:
-    """Compares how the state service serves this controller with how it serves the others."""
+    """Answers health checks by comparing the state store's answers to this controller with those to its peers."""
 
     def __init__(self, context: NodeContext, store: StateClient, job_index: JobIndex, peers: PeerStates) -> None:
-        """`peers` knows when the state service last served each of the others."""
+        """Initialize; `peers` knows when the state store last answered each peer."""
         self._effects = context.effects
         self._lease_s = context.workers.lease_s
         self._store = store
@@ -26,18 +26,20 @@
         self._peers = peers
 
     def answer(self, reply: Reply) -> None:
-        """Answer a health check: unhealthy while this node alone has no answers from the state service.
+        """Answer a health check: unhealthy while the state store answers a peer but not this node.
 
-        In an outage that all nodes see, every node stays healthy: to take them out of service would not help any user
-        and would delay the recovery.
+        A node that has not read the job index yet is unhealthy as well. In an outage of the state store for all nodes
+        every node stays healthy: taking them out of service would not help any user and would delay the recovery.
         """
         now = self._effects.now()
         unanswered_s = now - self._store.answered_at
         if self._job_index.synced and unanswered_s < self._lease_s / 4:
             reply(HTTPStatus.OK, b"{}")
             return
-        any_peer_served = any(now - served_at < self._lease_s / 8 for served_at in self._peers.served_at.values())
-        if not self._job_index.synced or any_peer_served:
-            reply(HTTPStatus.SERVICE_UNAVAILABLE, error_body("no state service"), RETRY_AFTER_S)
+        is_any_peer_served = any(
+            now - store_answered_at < self._lease_s / 8 for store_answered_at in self._peers.store_answered_at.values()
+        )
+        if not self._job_index.synced or is_any_peer_served:
+            reply(HTTPStatus.SERVICE_UNAVAILABLE, error_body("no state service"), UNHEALTHY_RETRY_AFTER_S)
         else:
             reply(HTTPStatus.OK, b"{}")
--- a/tealhook/mesh/__init__.py
+++ b/tealhook/mesh/__init__.py
@@ -1,4 +1,4 @@
-"""Controller-to-controller messages: calls, replies and gossip."""
+"""Messages between controllers: one-way messages such as gossip, and calls with replies."""
 
 from tealhook.mesh.mesh import Mesh, MessageHandler, MessageReply
 
--- a/tealhook/mesh/transport.py
+++ b/tealhook/mesh/transport.py
@@ -1,4 +1,4 @@
-"""Mesh frames over TCP: a length of four bytes, then the frame."""
+"""Transport of mesh frames over TCP; each frame follows its length, a big-endian integer of four bytes."""
 
 from __future__ import annotations
 
@@ -12,35 +12,38 @@
 
 log = logging.getLogger(__name__)
 
-LENGTH_BYTES = 4  # of the length before each frame
-MAX_QUEUED_BYTES = 2 * MAX_FRAME  # to a peer that does not read; the gossip of thousands of machines is one frame
-MAX_BATCH = 32 * 1024  # bytes of frames that wait to go out together
-BACKLOG = 32  # connections that peers may open at once
-INCOMING_PER_PEER = 4  # connections: after a network cut a peer opens new ones beside old ones that hang
+FRAME_LENGTH_BYTES = 4
+# Bytes queued for a peer that does not read; more than a frame, since the gossip of thousands of machines is one frame.
+MAX_QUEUED_BYTES = 2 * MAX_FRAME
+MAX_BATCH_BYTES = 32 * 1024
+ACCEPT_BACKLOG = 32
+# After a network partition a peer opens new connections while its old ones still hang.
+MAX_INCOMING_PER_PEER = 4
 
 
 class _FrameParser:
-    """Cuts a byte stream into frames; None for a frame that is too large."""
+    """Splits a byte stream into frames."""
 
     def __init__(self) -> None:
         self._buffer = bytearray()
 
     def feed(self, data: bytes) -> list[bytes] | None:
+        """Add received bytes and return the frames that are complete, or None if a frame is too large."""
         self._buffer += data
         frames = []
-        while len(self._buffer) >= LENGTH_BYTES:
-            size = int.from_bytes(self._buffer[:LENGTH_BYTES], "big")
+        while len(self._buffer) >= FRAME_LENGTH_BYTES:
+            size = int.from_bytes(self._buffer[:FRAME_LENGTH_BYTES], "big")
             if size > MAX_FRAME:
                 return None
-            if len(self._buffer) < LENGTH_BYTES + size:
+            if len(self._buffer) < FRAME_LENGTH_BYTES + size:
                 break
-            frames.append(bytes(self._buffer[LENGTH_BYTES : LENGTH_BYTES + size]))
-            del self._buffer[: LENGTH_BYTES + size]
+            frames.append(bytes(self._buffer[FRAME_LENGTH_BYTES : FRAME_LENGTH_BYTES + size]))
+            del self._buffer[: FRAME_LENGTH_BYTES + size]
         return frames
 
 
 class MeshTransport:
-    """Sends on one connection to each peer, receives on those that peers make."""
+    """Sends frames on one connection to each peer, and receives them on the connections that peers open."""
 
     def __init__(
         self,
@@ -51,7 +54,11 @@
         connect_timeout_s: float,
         batching_s: float,
     ) -> None:
-        """`connect_timeout_s`: for a connection to come about; `batching_s`: for what need not go out at once."""
+        """Listen at `addr`; connections to `peers`, which maps nodes to addresses, are opened by the first frames.
+
+        An outgoing connection that is not established within `connect_timeout_s` is replaced. `batching_s` is the
+        longest delay of frames that are batched.
+        """
         self._loop = loop
         self._peers = peers
         self._on_frame = on_frame
@@ -59,29 +66,30 @@
         self._batching_s = batching_s
         self._batches: dict[str, bytearray] = {}
         self._connections: dict[str, Stream] = {}
-        self._connecting_since: dict[str, float] = {}  # peer -> when its present connection was begun
+        self._connecting_since: dict[str, float] = {}  # peer -> time at which its current connection was started
         self._incoming: set[Stream] = set()
-        self._max_incoming = INCOMING_PER_PEER * max(1, len(peers))
-        self._sock = listen(addr, BACKLOG)
+        self._max_incoming = MAX_INCOMING_PER_PEER * max(1, len(peers))
+        self._sock = listen(addr, ACCEPT_BACKLOG)
         loop.watch(self._sock, 1, self._accept)
 
     def send(self, peer: str, frame: bytes, soon: bool = False) -> None:
-        """Best effort: dropped when the peer can't be reached or does not read.
+        """Send a frame on a best-effort basis: it is dropped if the peer cannot be reached or does not read.
 
-        Frames sent `soon` are batched for a moment: one by one, the status updates of hundreds of machines would each
-        cost a system call here and a turn of the loop at the receiver.
+        With `soon` the frame may wait up to `batching_s` to be sent in one batch with others; the order of frames is
+        kept. Without batching the status updates of hundreds of machines would each cost a system call here and an
+        iteration of the event loop at the receiver.
         """
         batch = self._batches.get(peer)
         if batch is None:
             batch = self._batches[peer] = bytearray()
         if soon and not batch:
             self._loop.later(self._batching_s, lambda: self._flush(peer))
-        batch += len(frame).to_bytes(LENGTH_BYTES, "big") + frame
-        if not soon or len(batch) > MAX_BATCH:
+        batch += len(frame).to_bytes(FRAME_LENGTH_BYTES, "big") + frame
+        if not soon or len(batch) > MAX_BATCH_BYTES:
             self._flush(peer)
 
     def _flush(self, peer: str) -> None:
-        """Write the frames that wait for a peer, on a new connection if there is none."""
+        """Write the batched frames of a peer, on a new connection if there is no usable one."""
         data = self._batches.get(peer)
         if not data:
             return
@@ -91,7 +99,7 @@
             connection.write(bytes(data))
 
     def _usable_connection(self, peer: str) -> Stream | None:
-        """The connection to a peer, unless it is closed or has taken too long to come about."""
+        """Return the connection to a peer, or None if there is none, it is closed or it took too long to establish."""
         connection = self._connections.get(peer)
         if connection is None:
             return None
@@ -101,6 +109,7 @@
         return None if connection.closed else connection
 
     def _connect(self, peer: str) -> Stream | None:
+        """Start a connection to a peer and return it, or None if that fails immediately."""
         connection = Stream.connect(self._loop, self._peers[peer], MAX_QUEUED_BYTES)
         if connection is not None:
             self._connections[peer] = connection
@@ -108,7 +117,7 @@
         return connection
 
     def reset(self, peer: str) -> None:
-        """Close the connection to a peer that is not heard, since it may hang; the next frame opens a new one."""
+        """Close the connection to a silent peer, since it may hang; the next frame opens a new one."""
         connection = self._connections.pop(peer, None)
         if connection is not None:
             connection.close()
@@ -121,8 +130,8 @@
                 return
             sock.setblocking(False)
             if len(self._incoming) >= self._max_incoming:
-                oldest = next(iter(self._incoming))
-                oldest.close()
+                evicted = next(iter(self._incoming))  # an arbitrary one: sets are unordered
+                evicted.close()
             stream = Stream(self._loop, sock)
             self._incoming.add(stream)
             stream.on_close = partial(self._incoming.discard, stream)
@@ -131,7 +140,7 @@
     def _on_data(self, stream: Stream, parser: _FrameParser, data: bytes) -> None:
         frames = parser.feed(data)
         if frames is None:
-            log.error("mesh: frame too large")
+            log.error("mesh: closing an incoming connection: it announced a frame larger than MAX_FRAME")
             stream.close()
             return
         for frame in frames:
--- a/tealhook/mesh_handler.py
+++ b/tealhook/mesh_handler.py
@@ -1,4 +1,4 @@
-"""Messages of other controllers, and of this one to itself: which component each of them goes to."""
+"""Dispatch of messages from other controllers, and from this one to itself, to its components."""
 
 from __future__ import annotations
 
@@ -13,28 +13,28 @@
 
 
 class MeshHandler:
-    """Hands each message to the component that it concerns."""
+    """Passes each message to the component that handles it."""
 
     def __init__(
         self,
-        gossip: GossipReceiver,
+        gossip_receiver: GossipReceiver,
         team_scheduler: TeamScheduler,
         partition_manager: PartitionManager,
         fleet_manager: FleetManager,
         on_user_request: RequestHandler,
     ) -> None:
-        """`on_user_request` decides users' requests that another controller could not."""
-        self._gossip = gossip
+        """Initialize; `on_user_request` handles users' requests that peers forward to this node."""
+        self._gossip_receiver = gossip_receiver
         self._team_scheduler = team_scheduler
         self._partition_manager = partition_manager
         self._fleet_manager = fleet_manager
         self._on_user_request = on_user_request
 
     def on_message(self, _sender: str, body: wire.Body, reply: MessageReply, /) -> None:
-        """Handle a message; requests are answered by `reply`, at once, later or never."""
+        """Handle a message; a request is answered by `reply`, immediately, later or never."""
         match body:
             case wire.Gossip():
-                self._gossip.receive(body)
+                self._gossip_receiver.receive(body)
             case wire.StatusUpdate():
                 self._team_scheduler.on_status_update(body)
             case wire.MachinesReleased(machines=machines):
@@ -44,24 +44,24 @@
             case wire.FenceRequest(machines=machines):
                 self._fleet_manager.fence(machines)
             case wire.RelayRequest(heartbeat=heartbeat):
-                self._on_relayed(heartbeat, reply)
+                self._on_relayed_heartbeat(heartbeat, reply)
             case wire.ForwardRequest():
-                self._on_forwarded(body, reply)
+                self._on_forwarded_request(body, reply)
             case wire.PartitionRequest():
                 self._on_partition_request(body, reply)
             case _:
                 reply(wire.Refused("not a request"))
 
-    def _on_relayed(self, heartbeat: bytes, reply: MessageReply) -> None:
-        """Handle the heartbeat of a worker that can't reach this node."""
+    def _on_relayed_heartbeat(self, heartbeat: bytes, reply: MessageReply) -> None:
+        """Handle the heartbeat of a worker that cannot reach this node directly."""
 
         def answer(status: int, body: bytes = b"{}", _retry_after_s: int | None = None) -> None:
             reply(wire.RelayReply(status, body))
 
         self._partition_manager.on_heartbeat(heartbeat, answer, relayed=True)
 
-    def _on_forwarded(self, forwarded: wire.ForwardRequest, reply: MessageReply) -> None:
-        """Handle a user's request that was sent to a node that the state service does not serve."""
+    def _on_forwarded_request(self, forwarded: wire.ForwardRequest, reply: MessageReply) -> None:
+        """Handle a user's request that arrived at a node that the state store does not serve."""
         request = Request(forwarded.method, forwarded.target, {}, True)
         request.body = forwarded.body
 
@@ -71,7 +71,7 @@
         self._on_user_request(request, answer)
 
     def _on_partition_request(self, body: wire.PartitionRequest, reply: MessageReply) -> None:
-        """Handle a message to the owner of a partition, which this node may be no more."""
+        """Handle a message to the owner of a partition; refuse it if this node no longer is the owner."""
         partition = self._partition_manager.partitions.get(body.zone)
         if partition is None:
             reply(wire.Refused("not the owner"))
@@ -93,7 +93,10 @@
 
 
 def _launch(partition: Partition, request: wire.LaunchRequest) -> wire.LaunchReply:
-    """Start tasks on reservations. They are numbered per owner: one made under another token is refused."""
+    """Start tasks on reservations, unless these were made under another fencing token.
+
+    The ids of reservations are unique only among those made under one token.
+    """
     if request.token == partition.token:
         return partition.launch(request)
     return wire.LaunchReply(partition.token, 0, [start.reservation_id for start in request.starts])
--- a/tests/test_flapping.py
+++ b/tests/test_flapping.py
@@ -1,4 +1,4 @@
-"""Flapping: a controller that loses the state service repeatedly does not get its ownerships back each time."""
+"""Flapping: a controller that loses the state store repeatedly is not given its keys back each time."""
 
 from __future__ import annotations
 
@@ -12,34 +12,34 @@
 LEASE_S = 3.0
 
 
-def test_backoff_doubles_per_loss_of_same_node_and_expires():
+def test_required_stable_time_doubles_per_loss_of_same_node_and_expires():
     nodes = {"a", "b", "c"}
-    stable = MembershipStability(LEASE_S, 0.0)
-    pauses = []
+    membership = MembershipStability(LEASE_S, 0.0)
+    stable_after_s = []
     for start in (10.0, 40.0, 70.0, 100.0):
-        stable.record_change(nodes, nodes - {"a"}, start)
-        stable.record_change(nodes - {"a"}, nodes, start + 1.0)
+        membership.record_change(nodes, nodes - {"a"}, start)
+        membership.record_change(nodes - {"a"}, nodes, start + 1.0)
         waited = 0.0
-        while not stable.is_stable(start + 1.0 + waited):
+        while not membership.is_stable(start + 1.0 + waited):
             waited += 0.5
-        pauses.append(waited)
-    assert pauses == [6.5, 12.5, 24.5, 24.5]
-    stable.record_change(nodes, nodes - {"a"}, 400.0)
-    assert not stable.is_stable(406.0) and stable.is_stable(406.5)
+        stable_after_s.append(waited)
+    assert stable_after_s == [6.5, 12.5, 24.5, 24.5]
+    membership.record_change(nodes, nodes - {"a"}, 400.0)
+    assert not membership.is_stable(406.0) and membership.is_stable(406.5)
 
 
 def test_rolling_restart_is_not_flapping():
-    """As when all are restarted one after the other."""
+    """Losses of different nodes do not add up, so restarting all of them in turn does not lengthen the stable time."""
     nodes = {"a", "b", "c"}
-    stable = MembershipStability(LEASE_S, 0.0)
+    membership = MembershipStability(LEASE_S, 0.0)
     for position, node in enumerate(sorted(nodes)):
-        stable.record_change(nodes, nodes - {node}, 10.0 * position)
-        stable.record_change(nodes - {node}, nodes, 10.0 * position + 1.0)
-    assert stable.is_stable(21.0 + 6.5)
+        membership.record_change(nodes, nodes - {node}, 10.0 * position)
+        membership.record_change(nodes - {node}, nodes, 10.0 * position + 1.0)
+    assert membership.is_stable(21.0 + 6.5)
 
 
-def _changes_of_owner(seed: int) -> int:
-    """How often something of a node that the state service refuses five times in two minutes changes hands."""
+def _count_owner_changes(seed: int) -> int:
+    """Count changes of owners while the state store refuses one node five times in two minutes."""
     cluster = SimulatedCluster(seed, cpu_limit=64.0)
     cluster.run(30.0)
     for i in range(12):
@@ -53,12 +53,12 @@
     cluster.run(90.0)
     assert cluster.unfinished_jobs() == []
     owners = {row[0]["n"] for key, row in cluster.state.rows.items() if key.startswith("own/home/")}
-    assert owners == set(cluster.node_names)  # and in the end it has its share
+    assert owners == set(cluster.node_names)  # the refused node has its share again at the end
     return changes
 
 
 @pytest.mark.parametrize("seed", range(81, 84))
 def test_ownership_of_flapping_node_is_not_handed_back(seed, monkeypatch):
-    with_backoff = _changes_of_owner(seed)
+    with_backoff = _count_owner_changes(seed)
     monkeypatch.setattr(stability, "MAX_STABILITY_DOUBLINGS", 0)
-    assert with_backoff < 0.75 * _changes_of_owner(seed)
+    assert with_backoff < 0.75 * _count_owner_changes(seed)
--- a/tests/test_ownership.py
+++ b/tests/test_ownership.py
@@ -1,4 +1,4 @@
-"""Balanced ownership of partitions and teams."""
+"""Balanced assignment of partitions, teams and the fleet to live nodes."""
 
 from itertools import combinations
 
@@ -7,8 +7,11 @@
 
 
 def test_ownership_is_balanced_for_any_set_of_live_nodes():
-    """Guards against one node with half of the machines while another had none: up to the rounded-up share
-    of each kind was taken, so that four partitions fell on three nodes as two, two and none."""
+    """Guards against one node that owns half of the machines while another owns none.
+
+    When each node could own up to the rounded-up share of a kind, four partitions were assigned to three nodes as two,
+    two and none.
+    """
     nodes = {f"n{i}": f"z{i % 2}" for i in range(5)}
     for zones in range(1, 12):
         keys = [
@@ -21,7 +24,9 @@
                 plan = plan_owners(keys, {node: nodes[node] for node in live})
                 assert plan.keys() == set(keys)
                 for prefix in ("own/part/", "own/home/"):
-                    shares = [sum(k.startswith(prefix) and n == node for k, n in plan.items()) for node in live]
+                    shares = [
+                        sum(key.startswith(prefix) and owner == node for key, owner in plan.items()) for node in live
+                    ]
                     assert max(shares) - min(shares) <= 1
-                totals = [sum(n == node for n in plan.values()) for node in live]
+                totals = [sum(owner == node for owner in plan.values()) for node in live]
                 assert max(totals) - min(totals) <= 2
--- a/tests/test_ownership_view.py
+++ b/tests/test_ownership_view.py
@@ -1,4 +1,4 @@
-"""The view of ownership records, and what is told of this node's own keys."""
+"""The view of ownership records, the reports of changes of owned keys, and the detection of suspensions."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 from tealhook.coordination import FLEET_KEY, OwnershipView, partition_key
 from tealhook.coordination.owned_keys import OwnedKeys
-from tealhook.coordination.ownership_view import OwnershipRecord, stored_value
+from tealhook.coordination.ownership_view import OwnershipRecord, record_value
 from tealhook.coordination.suspension import SuspensionDetector
 from tealhook.state_store import StateClient
 from tealhook.wire.common import encode_json
@@ -20,7 +20,7 @@
 
 
 class _Effects:
-    """Answers the first list of keys with the given records, and no watch."""
+    """Effects that answer lists of keys with the given records, and no other request."""
 
     def __init__(self, records: dict[str, tuple[object, int]]) -> None:
         rows = [{"path": key, "v": value, "stamp": revision} for key, (value, revision) in records.items()]
@@ -41,7 +41,7 @@
 
 
 class _Observer:
-    """Takes down what it is told."""
+    """Records the reported changes of ownership."""
 
     def __init__(self) -> None:
         self.changes: list[tuple[str, int | None]] = []
@@ -50,8 +50,8 @@
         self.changes.append((key, token))
 
 
-def _view(records: dict[str, tuple[object, int]]) -> tuple[OwnershipView, list[str | None]]:
-    """A view of these records, and the owner of `KEY` at each change of the view."""
+def _start_view(records: dict[str, tuple[object, int]]) -> tuple[OwnershipView, list[str | None]]:
+    """Return a view of the records, and a list that gets the owner of `KEY` at each change of the view."""
     context = make_context(_Effects(records), incarnation=INCARNATION)
     view = OwnershipView(context, StateClient(context))
     owners: list[str | None] = []
@@ -59,8 +59,8 @@
     return view, owners
 
 
-def test_losses_are_told_first_and_a_new_token_is_a_loss_and_an_acquisition():
-    """Guards against a component that goes on under its old token after another node has owned its key."""
+def test_losses_are_reported_first_and_new_token_as_loss_and_acquisition():
+    """Guards against a component that keeps using an old fencing token after another node has owned its key."""
     owned, observer = OwnedKeys(), _Observer()
     owned.update({FLEET_KEY: 3, KEY: 4}, observer)
     owned.update({FLEET_KEY: 3, KEY: 4}, observer)
@@ -76,8 +76,8 @@
     assert owned.tokens() == {"own/home/a": 6, KEY: 9} and owned.token(FLEET_KEY) is None
 
 
-def test_only_a_higher_token_of_a_peer_counts():
-    view, owners = _view({KEY: (stored_value("n0", "7", "za"), 8)})
+def test_only_higher_token_of_peer_changes_owner():
+    view, owners = _start_view({KEY: (record_value("n0", "7", "za"), 8)})
     view.merge_peer_tokens("n1", {KEY: 8, FLEET_KEY: 20})
     view.merge_peer_tokens("n2", {KEY: 7})
     assert view.owner(KEY) == "n0" and view.owner(FLEET_KEY) is None and view.tokens_of_this_process() == {KEY: 8}
@@ -86,26 +86,28 @@
     assert owners == ["n0", "n1"]
 
 
-def test_an_earlier_process_of_this_name_is_not_this_one():
-    view, _owners = _view({"own/node/n0": (stored_value("n0", "6", "za"), 3), KEY: (stored_value("n0", "6", "za"), 4)})
+def test_records_of_earlier_process_of_same_node_are_not_own():
+    view, _owners = _start_view(
+        {"own/node/n0": (record_value("n0", "6", "za"), 3), KEY: (record_value("n0", "6", "za"), 4)}
+    )
     assert not view.is_registered and view.tokens_of_this_process() == {}
     assert view.incarnation_of("n0") == 6 and view.live_nodes() == {"n0": "za"}
 
 
 @pytest.mark.parametrize("value", [None, 3, [], {}, {"n": None}])
-def test_a_malformed_record_names_no_live_node(value):
-    view, _owners = _view({KEY: (value, 5), "own/node/n1": (value, 6)})
+def test_malformed_record_names_no_live_node(value):
+    view, _owners = _start_view({KEY: (value, 5), "own/node/n1": (value, 6)})
     assert view.owner(KEY) not in ("n0", "n1", "n2") and view.token(KEY) == 5
     assert view.incarnation_of("n1") is None and view.has_record(KEY)
 
 
-def test_a_stored_record_is_read_as_it_was_written():
-    value = stored_value("n1", "1f", "zb")
+def test_ownership_record_round_trips():
+    value = record_value("n1", "1f", "zb")
     assert value == {"n": "n1", "b": "1f", "z": "zb"}
     assert OwnershipRecord.parse(value, 12) == OwnershipRecord("n1", 12, "1f", "zb")
 
 
-def test_a_suspension_is_detected_once_and_remembered():
+def test_suspension_is_detected_once_and_remembered():
     detector = SuspensionDetector(1.5, 10.0)
     before = detector.last_detected_at(11.5)
     assert before < 0.0
