--- a/tealhook/controller.py
+++ b/tealhook/controller.py
@@ -24,7 +24,7 @@
 
 MAX_ZONES = 256
 MAX_ZONE_NAME_LENGTH = 64
-MAX_RECENT_READS = 1000  # jobs missing in the job index whose last read is tracked; beyond it the tracking is cleared
+MAX_RECENT_READS = 1000  # jobs whose last read is tracked; when there are more, the tracking is cleared
 INCARNATION_BITS = 62
 
 
--- a/tealhook/coordination/key_claimer.py
+++ b/tealhook/coordination/key_claimer.py
@@ -15,7 +15,7 @@
 from tealhook.coordination.lease import NodeLease, node_lease_ttl_s
 from tealhook.coordination.owned_keys import OwnedKeys
 from tealhook.coordination.ownership_keys import FLEET_KEY, PARTITION_PREFIX, TEAM_PREFIX, node_key
-from tealhook.coordination.ownership_view import OwnershipRecord, OwnershipView, record_value
+from tealhook.coordination.ownership_view import OwnershipRecord, OwnershipView, encode_record
 from tealhook.loop.effects import LONG_AGO_S
 from tealhook.state_store import CallPriority, Outcome, StateClient, TransactionResult
 from tealhook.wire import state as wire
@@ -31,7 +31,7 @@
 
 
 class Reachability(Protocol):
-    """Source of which nodes can be reached from this one."""
+    """Source of the reachability of other nodes from this one."""
 
     def is_reachable(self, node: str) -> bool:
         """Check whether a message of the node arrived recently; this node itself is always reachable."""
@@ -39,7 +39,7 @@
 
 
 class ZoneHeartbeats(Protocol):
-    """Source of which zones have workers whose heartbeats arrive at this node."""
+    """Source of the zones whose workers are silent, that is, whose heartbeats do not arrive at this node."""
 
     def is_silent(self, zone: str | None) -> bool:
         """Check whether no worker of a zone, or of any zone if it is None, sends heartbeats to this node."""
@@ -47,7 +47,7 @@
 
 
 class KeyClaimer:
-    """Decides which keys to claim and which to release, and writes these changes to the state store."""
+    """The component that decides which keys to claim and to release, and writes these changes to the state store."""
 
     def __init__(
         self,
@@ -119,7 +119,7 @@
     def _claim(self, keys: list[str]) -> None:
         """Claim keys by compare-and-swap, on condition that they are unowned and this process is still registered."""
         self._is_claiming = True
-        value = record_value(self._node, self._incarnation, self._zone)
+        value = encode_record(self._node, self._incarnation, self._zone)
         conditions = dict.fromkeys(keys, 0)
         registration = self._view.token(self._node_key)
         if self._node_key not in conditions and registration is not None:
--- a/tealhook/coordination/ownership.py
+++ b/tealhook/coordination/ownership.py
@@ -47,9 +47,9 @@
         claimer = KeyClaimer(
             self._context, self._store, self._view, self._lease, self._owned, self._reachability, heartbeats
         )
-        self._lease.revoke_predecessor(partial(self._begin, observer, partial(self._review, claimer)))
+        self._lease.revoke_predecessor(partial(self._on_predecessor_revoked, observer, partial(self._review, claimer)))
 
-    def _begin(self, observer: OwnershipObserver, review: Callable[[], None]) -> None:
+    def _on_predecessor_revoked(self, observer: OwnershipObserver, review: Callable[[], None]) -> None:
         self._view.start(partial(self._on_view_change, observer, review))
         self._lease.acquire(review)
         every(self._effects, self.node_lease_ttl_s / REVIEWS_PER_LEASE, review)
--- a/tealhook/coordination/ownership_view.py
+++ b/tealhook/coordination/ownership_view.py
@@ -22,7 +22,7 @@
 from tealhook.state_store import StateClient, Watcher
 from tealhook.wire.state import KeyValue, WatchEvent
 
-WATCHES_PER_WORKER_LEASE = 12  # the state store holds a watch open for this fraction of the lease of workers
+WATCHES_PER_WORKER_LEASE = 12  # a watch is held open for the lease of workers divided by this
 
 
 @dataclass(frozen=True, slots=True)
@@ -49,7 +49,7 @@
         )
 
 
-def record_value(node: str, incarnation: str, zone: str) -> dict[str, str]:
+def encode_record(node: str, incarnation: str, zone: str) -> dict[str, str]:
     """Return the value to store for an ownership record or a registration."""
     return {"n": node, "b": incarnation, "z": zone}
 
@@ -158,7 +158,10 @@
         self._expected_keys.add(key)
 
     def merge_peer_tokens(self, node: str, tokens: dict[str, int]) -> None:
-        """Make a peer the owner of the keys that it reports with a higher fencing token than the known one."""
+        """Make a peer the owner of the keys that it reports with a higher fencing token than the known one.
+
+        Keys without a known record are left to the watch.
+        """
         has_changed = False
         for key, token in tokens.items():
             known = self._records.get(key)
--- a/tealhook/forwarding.py
+++ b/tealhook/forwarding.py
@@ -16,7 +16,7 @@
 
 
 class RequestForwarder:
-    """Chooses the peer that handles users' requests, and forwards them to it."""
+    """Forwarder of users' requests to a peer that the state store serves."""
 
     def __init__(
         self,
--- a/tealhook/gossip/receiver.py
+++ b/tealhook/gossip/receiver.py
@@ -12,7 +12,7 @@
 
 
 class GossipReceiver:
-    """Passes the contents of gossip to the components that use them."""
+    """Distributor of the contents of gossip to the components that use them."""
 
     def __init__(
         self,
--- a/tealhook/gossip/sender.py
+++ b/tealhook/gossip/sender.py
@@ -30,7 +30,7 @@
 
 
 class GossipSender:
-    """Sends gossip, and scales the fleet if this controller owns it."""
+    """Sender of gossip, which also scales the fleet if this controller owns it."""
 
     def __init__(
         self,
--- a/tealhook/health_check.py
+++ b/tealhook/health_check.py
@@ -15,7 +15,7 @@
 
 
 class HealthCheck:
-    """Answers health checks by comparing the state store's answers to this controller with those to its peers."""
+    """Health check that compares the state store's answers to this controller with those to its peers."""
 
     def __init__(self, context: NodeContext, store: StateClient, job_index: JobIndex, peers: PeerStates) -> None:
         """Initialize; `peers` knows when the state store last answered each peer."""
--- a/tealhook/mesh/mesh.py
+++ b/tealhook/mesh/mesh.py
@@ -51,7 +51,7 @@
 
 
 class Mesh:
-    """Sends messages and calls to other controllers, and passes theirs to a handler."""
+    """Messaging endpoint that sends messages and calls to other controllers, and passes theirs to a handler."""
 
     def __init__(self, context: NodeContext, registrations: Registrations) -> None:
         """Initialize without a handler; messages are accepted only from the peers in the settings."""
--- a/tealhook/mesh/transport.py
+++ b/tealhook/mesh/transport.py
@@ -22,7 +22,7 @@
 
 
 class _FrameParser:
-    """Splits a byte stream into frames."""
+    """Incremental parser of the frames in a byte stream."""
 
     def __init__(self) -> None:
         self._buffer = bytearray()
@@ -43,7 +43,7 @@
 
 
 class MeshTransport:
-    """Sends frames on one connection to each peer, and receives them on the connections that peers open."""
+    """Transport that sends frames on one connection to each peer, and receives them on those that peers open."""
 
     def __init__(
         self,
--- a/tealhook/mesh_handler.py
+++ b/tealhook/mesh_handler.py
@@ -13,7 +13,7 @@
 
 
 class MeshHandler:
-    """Passes each message to the component that handles it."""
+    """Dispatcher of each message to the component that handles it."""
 
     def __init__(
         self,
--- a/tests/test_ownership_view.py
+++ b/tests/test_ownership_view.py
@@ -9,7 +9,7 @@
 
 from tealhook.coordination import FLEET_KEY, OwnershipView, partition_key
 from tealhook.coordination.owned_keys import OwnedKeys
-from tealhook.coordination.ownership_view import OwnershipRecord, record_value
+from tealhook.coordination.ownership_view import OwnershipRecord, encode_record
 from tealhook.coordination.suspension import SuspensionDetector
 from tealhook.state_store import StateClient
 from tealhook.wire.common import encode_json
@@ -77,7 +77,7 @@
 
 
 def test_only_higher_token_of_peer_changes_owner():
-    view, owners = _start_view({KEY: (record_value("n0", "7", "za"), 8)})
+    view, owners = _start_view({KEY: (encode_record("n0", "7", "za"), 8)})
     view.merge_peer_tokens("n1", {KEY: 8, FLEET_KEY: 20})
     view.merge_peer_tokens("n2", {KEY: 7})
     assert view.owner(KEY) == "n0" and view.owner(FLEET_KEY) is None and view.tokens_of_this_process() == {KEY: 8}
@@ -88,7 +88,7 @@
 
 def test_records_of_earlier_process_of_same_node_are_not_own():
     view, _owners = _start_view(
-        {"own/node/n0": (record_value("n0", "6", "za"), 3), KEY: (record_value("n0", "6", "za"), 4)}
+        {"own/node/n0": (encode_record("n0", "6", "za"), 3), KEY: (encode_record("n0", "6", "za"), 4)}
     )
     assert not view.is_registered and view.tokens_of_this_process() == {}
     assert view.incarnation_of("n0") == 6 and view.live_nodes() == {"n0": "za"}
@@ -102,7 +102,7 @@
 
 
 def test_ownership_record_round_trips():
-    value = record_value("n1", "1f", "zb")
+    value = encode_record("n1", "1f", "zb")
     assert value == {"n": "n1", "b": "1f", "z": "zb"}
     assert OwnershipRecord.parse(value, 12) == OwnershipRecord("n1", 12, "1f", "zb")
 
