--- a/tealhook/fleet/manager.py
+++ b/tealhook/fleet/manager.py
@@ -62,7 +62,7 @@
     def _step(self) -> None:
         """Make the calls to the cloud that are due, and schedule the next step."""
         self._effects.later(self._step_period_s * (0.9 + 0.2 * self._effects.rng.random()), self._step)
-        if self._token is None or self._ownership.lease_uncertain:
+        if self._token is None or self._ownership.is_lease_uncertain:
             return
         now = self._effects.now()
         for name, released_at in list(self._released_at.items()):
@@ -97,7 +97,7 @@
             self._token is None
             or not self._machine_types
             or not (self._has_listed or self._is_new_cluster)
-            or self._ownership.lease_uncertain
+            or self._ownership.is_lease_uncertain
         ):
             return
         now = self._effects.now()
