--- a/tealhook/admission/cancellations.py
+++ b/tealhook/admission/cancellations.py
@@ -63,7 +63,7 @@
                 # The job has ended meanwhile, or nobody knows whether this end was written: read again.
                 self.cancel(job, reply, retries - 1)
 
-        self._records.end(
+        self._records.end_jobs(
             {job: (self._records.build_ended_record(team, JobState.CANCELLED), mod_revision)},
             written,
             MAX_QUEUE_WAIT_S,
--- a/tealhook/admission/job_reader.py
+++ b/tealhook/admission/job_reader.py
@@ -60,16 +60,16 @@
             elif self._job_index.is_complete:
                 done(JobRead(ReadOutcome.ABSENT))
             else:
-                self.read_record(job, done)
+                self.read_record_into_index(job, done)
 
-        if self._job_index.synced:
+        if self._job_index.is_synced:
             self._read_index.read(refreshed)
         else:
-            self.read_record(job, done)
+            self.read_record_into_index(job, done)
 
-    def read_record(self, job: str, done: OnRead) -> None:
+    def read_record_into_index(self, job: str, done: OnRead) -> None:
         """Read a job's record by itself; the job index learns it."""
-        self._records.read(job, _to_on_record(done), CallPriority.ADMIT, MAX_QUEUE_WAIT_S, READ_TIMEOUT_S)
+        self._records.read_into_index(job, _to_on_record(done), CallPriority.ADMIT, MAX_QUEUE_WAIT_S, READ_TIMEOUT_S)
 
     def fetch_record(self, job: str, done: OnRead) -> None:
         """Read a job's record by itself, and leave the job index as it is."""
--- a/tealhook/admission/status_replies.py
+++ b/tealhook/admission/status_replies.py
@@ -45,7 +45,7 @@
         node would else answer older, and a view that may lack a cancellation of long ago tells nothing.
         """
         entry = self._job_index.active.get(job)
-        if status != JobState.ACTIVE or entry is None or not entry.blocked:
+        if status != JobState.ACTIVE or entry is None or not entry.is_blocked:
             reply(code, self._responder.status_body(job, status))
         elif self._job_index.has_cancelled_dependency(job):
             self._cancel_with_dependency(code, job, reply)
--- a/tealhook/admission/submissions.py
+++ b/tealhook/admission/submissions.py
@@ -87,7 +87,7 @@
         """The records of a job to write, or why it is to be refused unless it was accepted earlier."""
         if request.spec is None:
             return None, request.refusal
-        obstacle = self._validator.find_obstacle(request.spec)
+        obstacle = self._validator.find_infeasibility_reason(request.spec)
         if obstacle is not None:
             return None, Refusal(HTTPStatus.UNPROCESSABLE_ENTITY, obstacle)
         submission = encode_submission(request.spec, round(self._effects.wall(), 1), self._store)
--- a/tealhook/admission/validation.py
+++ b/tealhook/admission/validation.py
@@ -29,7 +29,7 @@
             return False
         return spec is None or not spec.depends_on or self._versions.all_upgraded
 
-    def find_obstacle(self, spec: JobSpec) -> str | None:
+    def find_infeasibility_reason(self, spec: JobSpec) -> str | None:
         """Why a job can never run; None when it can, or when that is not known yet."""
         team = self._teams.get(spec.team)
         if team is None:
--- a/tealhook/health_check.py
+++ b/tealhook/health_check.py
@@ -33,11 +33,11 @@
         """
         now = self._effects.now()
         unanswered_s = now - self._store.answered_at
-        if self._job_index.synced and unanswered_s < self._lease_s / 4:
+        if self._job_index.is_synced and unanswered_s < self._lease_s / 4:
             reply(HTTPStatus.OK, b"{}")
             return
         any_peer_served = any(now - served_at < self._lease_s / 8 for served_at in self._peers.served_at.values())
-        if not self._job_index.synced or any_peer_served:
+        if not self._job_index.is_synced or any_peer_served:
             reply(HTTPStatus.SERVICE_UNAVAILABLE, error_body("no state service"), RETRY_AFTER_S)
         else:
             reply(HTTPStatus.OK, b"{}")
--- a/tealhook/jobs/attempt.py
+++ b/tealhook/jobs/attempt.py
@@ -42,7 +42,7 @@
         "acknowledged_sequence",
         "launch_expires_at",
         "assigned_at",
-        "stopping",
+        "is_stopping",
         "chunk",
     )
 
@@ -71,5 +71,5 @@
         # Until then a launch of ours may still reach the partition; from then on its reservation has expired.
         self.launch_expires_at = 0.0
         self.assigned_at = assigned_at
-        self.stopping = False
+        self.is_stopping = False
         self.chunk = 0  # of the job's assignment record that names it
--- a/tealhook/jobs/dependency_graph.py
+++ b/tealhook/jobs/dependency_graph.py
@@ -57,7 +57,7 @@
             if entry is not None and job in entry.pending_dependencies:
                 del entry.pending_dependencies[job]
                 entry.released_at = max(entry.released_at, done_at)
-                if not entry.blocked:
+                if not entry.is_blocked:
                     self._on_changed(dependent)
 
     def propagate_priorities(self, names: Iterable[str]) -> None:
--- a/tealhook/jobs/index.py
+++ b/tealhook/jobs/index.py
@@ -66,7 +66,7 @@
         self.watcher.start()
 
     @property
-    def synced(self) -> bool:
+    def is_synced(self) -> bool:
         """Whether all records have been read once: before, a job that is lacking may well be active."""
         return self.watcher.synced
 
@@ -102,7 +102,7 @@
     def is_blocked(self, job: str) -> bool:
         """Whether a job waits for its dependencies, as far as known here."""
         entry = self.active.get(job)
-        return entry is not None and entry.blocked
+        return entry is not None and entry.is_blocked
 
     def expected_release_at(self, job: str) -> float:
         """When a blocked job should be released, by the time of day and its dependencies' estimated run times."""
@@ -129,7 +129,7 @@
         if record.spec is not None and (previous is None or previous.mod_revision < mod_revision):
             if previous is not None:
                 self._count_checkpointing(previous, -1)
-            entry = JobEntry(record.spec, record.team, mod_revision, record.at, record.extra_chunks)
+            entry = JobEntry(record.spec, record.team, mod_revision, record.status_since, record.extra_chunks)
             self.active[job] = entry
             self._count_checkpointing(entry, 1)
             self._dependencies.register(job, entry, entry.spec.depends_on)
@@ -139,7 +139,7 @@
 
     def _end(self, job: str, record: JobRecord) -> None:
         entry = self.active.pop(job, None)
-        self.ended[job] = EndedJob(record.status, record.team, record.at)
+        self.ended[job] = EndedJob(record.status, record.team, record.status_since)
         while len(self.ended) > self._max_ended:
             self.ended.popitem(last=False)
             self.is_complete = False
@@ -149,7 +149,7 @@
             self._dependencies.unregister(job, entry)
         self._notify(job)
         if record.status == JobState.DONE:
-            self._dependencies.release_dependents(job, record.at)
+            self._dependencies.release_dependents(job, record.status_since)
         else:
             for dependent in self._dependencies.dependents(job):
                 self._notify(dependent)
--- a/tealhook/jobs/job.py
+++ b/tealhook/jobs/job.py
@@ -54,8 +54,8 @@
         self.has_deferrable_change = False  # something changed that need not be durable at once
         self.deferrable_since = 0.0
         self.write_state = WriteState.SETTLED
-        self.loaded = False  # the assignment record has been read
-        self.to_forget: list[FinishedTask] = []  # once durable
+        self.is_loaded = False  # the assignment record has been read
+        self.tasks_to_forget: list[FinishedTask] = []  # once durable
 
     # -- writing the assignment record
 
@@ -66,7 +66,7 @@
             found.setdefault(attempt.chunk, []).append(attempt)
         return found
 
-    def lay_out(self, limit: int, max_chunks: int) -> dict[int, dict]:
+    def lay_out_chunks(self, limit: int, max_chunks: int) -> dict[int, dict]:
         """Return values of the chunks to be written: the first, and those that changed, `max_chunks` of them at once.
 
         What is staged goes to the first chunk that has space for it, so that a job is never narrower than its
@@ -109,11 +109,16 @@
                 attempt.chunk = NO_CHUNK
 
     def load(
-        self, chunk: int, value: Any, revision: int, now: float, proved_off: Collection[tuple[int, int]] | None = None
+        self,
+        chunk: int,
+        value: Any,
+        revision: int,
+        now: float,
+        proved_absent: Collection[tuple[int, int]] | None = None,
     ) -> None:
         """Take over a chunk of the assignment record; raises `CorruptRecordError` when it is not one.
 
-        `proved_off`: attempts (task, number) that this scheduler has proved off their machines since the record was
+        `proved_absent`: attempts (task, number) that this scheduler has proved off their machines since the record was
         written.
         """
         decoded = decode_chunk(assignment_key(self.team, self.id, chunk), chunk, value, now)
@@ -126,17 +131,17 @@
             for index in range(first, min(last + 1, self.task_count)):
                 self.mark_done(index)
         for attempt in decoded.attempts:
-            self._load_attempt(chunk, attempt, proved_off)
+            self._load_attempt(chunk, attempt, proved_absent)
         if not chunk:
-            self.loaded = True
+            self.is_loaded = True
 
-    def _load_attempt(self, chunk: int, attempt: Attempt, proved_off: Collection[tuple[int, int]] | None) -> None:
+    def _load_attempt(self, chunk: int, attempt: Attempt, proved_absent: Collection[tuple[int, int]] | None) -> None:
         attempt.chunk = chunk
         present = self.attempts.get(attempt.index)
         if present is not None and present.number >= attempt.number:
             self._resolve_duplicate(present, attempt)
             return
-        if proved_off and (attempt.index, attempt.number) in proved_off:
+        if proved_absent and (attempt.index, attempt.number) in proved_absent:
             self.dirty_chunks.add(chunk)
             return
         if present is not None and present.chunk >= 0:
--- a/tealhook/jobs/job_entry.py
+++ b/tealhook/jobs/job_entry.py
@@ -49,7 +49,7 @@
         return self.accepted_at + self.spec.deadline_s if self.spec.deadline_s is not None else math.inf
 
     @property
-    def blocked(self) -> bool:
+    def is_blocked(self) -> bool:
         """Whether the job waits for its dependencies, as far as known: none of its tasks may start."""
         return bool(self.pending_dependencies or self.missing_chunks)
 
--- a/tealhook/jobs/job_records.py
+++ b/tealhook/jobs/job_records.py
@@ -49,7 +49,7 @@
     team: str = msgspec.field(name="t")
     status: str = msgspec.field(name="st")
     spec: JobSpec | None = msgspec.field(default=None, name="s")
-    at: float = 0.0
+    status_since: float = msgspec.field(default=0.0, name="at")
     extra_chunks: int = msgspec.field(default=0, name="more")
 
 
--- a/tealhook/jobs/record_store.py
+++ b/tealhook/jobs/record_store.py
@@ -42,7 +42,7 @@
 
     def build_ended_record(self, team: str, state: JobState) -> JobRecord:
         """Return the record of a job that ends now; its time of day says when the job's dependents are released."""
-        return JobRecord(team, state, at=round(self._effects.wall(), 1))
+        return JobRecord(team, state, status_since=round(self._effects.wall(), 1))
 
     def fetch(
         self,
@@ -62,7 +62,7 @@
 
         self._store.get(job_key(job), on_read, priority, wait, timeout)
 
-    def read(
+    def read_into_index(
         self,
         job: str,
         done: OnRecord,
@@ -79,7 +79,7 @@
 
         self.fetch(job, on_record, priority, wait, timeout)
 
-    def end(
+    def end_jobs(
         self,
         ends: dict[str, tuple[JobRecord, int]],
         done: Callable[[Outcome, list[str]], Any],
--- a/tealhook/jobs/tasks.py
+++ b/tealhook/jobs/tasks.py
@@ -11,7 +11,7 @@
 from tealhook.wire.mesh import TaskRequirements
 from tealhook.wire.users import JobKind, JobSpec
 
-FAILING_THRESHOLD = 3  # failures in a row from which on a job is tried one task at a time
+FAILING_JOB_MIN_FAILURES = 3  # failures in a row from which on a job is tried one task at a time
 MAX_AVOIDED_MACHINES = 8  # machines on which a job failed lately, not tried again at once
 
 
@@ -23,7 +23,9 @@
         self.id = job
         self.team = team
         self.spec: JobSpec | None = entry.spec if entry else None
-        self.blocked = entry.blocked if entry else False  # it waits for its dependencies: none of its tasks may start
+        self.is_blocked = (
+            entry.is_blocked if entry else False
+        )  # it waits for its dependencies: none of its tasks may start
         self.priority = entry.priority if entry else 0  # the highest of its own and of all jobs that depend on it
         self.deadline_at = math.inf  # when it should be done, by the deadlines of its dependents too
         self.resources = self.spec.resources if self.spec else (0.0, 0.0, 0.0)
@@ -37,30 +39,30 @@
         self._next_fresh = 0  # the first task that has never been staged or assigned from here
         self._returned: list[int] = []  # heap of tasks that wait again
         self.schedulable_since = now  # when it was first seen here
-        self.ended_since: float | None = None  # since when its tasks have to be stopped: it was cancelled
+        self.stopping_since: float | None = None  # since when its tasks have to be stopped: it was cancelled
         self.waiting_since = now
         self.last_assigned_at = -math.inf  # when a task of it was last assigned, as far as this scheduler knows
-        self.failures = 0
-        self.not_before = 0.0
+        self.consecutive_failures = 0
+        self.placement_not_before = 0.0
         self.avoided_machines: list[str] = []
 
     @property
-    def finished(self) -> bool:
+    def is_finished(self) -> bool:
         """Whether every task is done, and the job's own record does not say so yet."""
         return self.spec is not None and self.done_count >= self.task_count
 
     @property
-    def gang(self) -> bool:
+    def is_gang(self) -> bool:
         """Whether all tasks start together, or none does."""
         return self.spec is not None and self.spec.kind == JobKind.GANG
 
-    def waiting_count(self) -> int:
+    def count_waiting(self) -> int:
         """Tasks that are neither done nor assigned, and may start."""
-        if self.spec is None or self.blocked:
+        if self.spec is None or self.is_blocked:
             return 0
         return self.task_count - self.done_count - len(self.attempts) - len(self.staged)
 
-    def requirements(self) -> TaskRequirements:
+    def build_requirements(self) -> TaskRequirements:
         """Return what a machine must have for one of its tasks, as partitions are asked for it."""
         spec = self.spec
         assert spec is not None, "nothing is placed for a job that has ended"
@@ -95,7 +97,7 @@
         """Put a task back to those waiting."""
         if index < self.task_count and not self.done[index]:
             heapq.heappush(self._returned, index)
-            if self.waiting_count() <= 1:
+            if self.count_waiting() <= 1:
                 self.waiting_since = now
 
     def unstage(self, attempts: list[Attempt], now: float) -> None:
@@ -112,21 +114,21 @@
 
     def record_failure(self, machine: str) -> None:
         """Record that a task failed on a machine: the job's next ones avoid it for a while."""
-        self.failures += 1
+        self.consecutive_failures += 1
         if machine in self.avoided_machines:
             self.avoided_machines.remove(machine)
         self.avoided_machines.append(machine)
         del self.avoided_machines[:-MAX_AVOIDED_MACHINES]
 
     @property
-    def failing(self) -> bool:
+    def is_failing(self) -> bool:
         """Whether its tasks fail one after the other and none ends: it may have been submitted with a mistake.
 
         It is retried one task at a time and ever less often, but no other job may lose anything for it.
         """
-        return self.failures >= FAILING_THRESHOLD
+        return self.consecutive_failures >= FAILING_JOB_MIN_FAILURES
 
-    def running_count(self) -> int:
+    def count_running(self) -> int:
         """Tasks that their machines have shown to run."""
         return sum(1 for attempt in self.attempts.values() if attempt.state is AttemptState.RUNNING)
 
@@ -136,6 +138,6 @@
             1 for a in self.staged.values() if a.zone == zone
         )
 
-    def zones(self) -> set[str]:
+    def occupied_zones(self) -> set[str]:
         """Zones with machines that may have tasks of it."""
         return {a.zone for a in self.attempts.values()} | {a.zone for a in self.staged.values()}
--- a/tealhook/scheduling/attempts.py
+++ b/tealhook/scheduling/attempts.py
@@ -56,7 +56,7 @@
     def on_status_update(self, update: wire.StatusUpdate) -> None:
         """Take what a partition's owner reports of a machine. Updates that arrive out of order are ignored."""
         team_state = self._teams.get(update.team)
-        if team_state is None or not team_state.ready:
+        if team_state is None or not team_state.is_ready:
             return
         order = (update.token, update.sequence)
         if order <= team_state.latest_updates.get(update.machine, NO_UPDATE):
@@ -124,8 +124,8 @@
             return
         if observed.status != wire.LAUNCHING:
             attempt.state = AttemptState.from_task_status(observed.status)
-        if job.spec is None and not attempt.stopping:
-            attempt.stopping = True
+        if job.spec is None and not attempt.is_stopping:
+            attempt.is_stopping = True
             stops.append(wire.TaskStop(attempt.machine, job.id, attempt.index, attempt.number, AT_ONCE))
 
     def _on_exited(
@@ -147,15 +147,15 @@
         if attempt.estimate is not None:
             self._learn_feedback(team_state, attempt.zone, attempt.estimate, now)
         job.mark_done(attempt.index)
-        job.failures = 0
-        job.to_forget.append(FinishedTask(attempt.zone, attempt.machine, attempt.index, attempt.number))
+        job.consecutive_failures = 0
+        job.tasks_to_forget.append(FinishedTask(attempt.zone, attempt.machine, attempt.index, attempt.number))
         self._commits.mark_deferrable_change(job, now)
-        if job.finished:
+        if job.is_finished:
             self._commits.schedule_commit()
         self._wake_scheduler()
 
     def _learn_feedback(self, team_state: TeamState, zone: str, estimate: PlacementEstimate, now: float) -> None:
-        factor = team_state.factors.setdefault(zone, Feedback(now))
+        factor = team_state.estimate_feedback.setdefault(zone, Feedback(now))
         factor.record_finish(estimate, now, self._policy.value("feedback"))
 
     # -- observed tasks that no recorded attempt matches
@@ -189,7 +189,7 @@
             if current is not None:
                 stops.append(wire.TaskStop(current.machine, job.id, current.index, current.number, AT_ONCE))
             self._commits.mark_deferrable_change(job, self._effects.now())
-        job.to_forget.append(FinishedTask(update.zone, update.machine, observed.index, observed.attempt))
+        job.tasks_to_forget.append(FinishedTask(update.zone, update.machine, observed.index, observed.attempt))
         self._commits.schedule_commit()
 
     # -- attempts that are off their machines
@@ -225,6 +225,6 @@
         A gang that lost a task can't go on: the rest is stopped, and all of it is placed anew.
         """
         job.return_task(attempt.index, now)
-        if job.gang and job.attempts:
+        if job.is_gang and job.attempts:
             self._stop_commands.stop_all(team_state, job)
         self._wake_scheduler()
--- a/tealhook/scheduling/candidates.py
+++ b/tealhook/scheduling/candidates.py
@@ -80,12 +80,12 @@
         # Min-min alone serves the short and small first, and ranks by priority. So a job that has waited for
         # long and has not begun at all goes before everything else, with one task (a gang with all); likewise
         # a team's oldest job once it is older than every job should be before it begins.
-        self.count = 1 if standing.overdue and not job.gang else count
+        self.count = 1 if standing.overdue and not job.is_gang else count
         self.within_guarantee = standing.within_guarantee
         self.starving = standing.starving or standing.overdue
         self.overdue = standing.overdue
         self.borrows = standing.borrows
-        self.requirements = job.requirements()
+        self.requirements = job.build_requirements()
         self.rank = Rank(
             not_overdue=not standing.overdue,
             negated_priority=-self.requirements.priority,
@@ -102,7 +102,7 @@
         single tasks, in steps wide enough that min-min still chooses among jobs of about one size.
         """
         vcpus, gpus, _memory_gb = self.job.resources
-        work = self.job.waiting_count() * max(vcpus, gpus) * max(1.0, self.requirements.run_s)
+        work = self.job.count_waiting() * max(vcpus, gpus) * max(1.0, self.requirements.run_s)
         return int(SIZE_STEPS * math.log2(1.0 + work))
 
 
@@ -132,7 +132,7 @@
         ages = CycleAges(now, self._policy.value("hold_age_s", variables), variables["begin_s"])
         found: list[Candidate] = []
         for team in self._teams.values():
-            if team.ready:
+            if team.is_ready:
                 found.extend(self._select_team(team, ages))
         found.sort(key=lambda candidate: (candidate.rank, candidate.job.mod_revision))
         return found[:MAX_CANDIDATES]
@@ -143,30 +143,30 @@
         jobs = sorted(team.jobs.values(), key=lambda job: job.mod_revision)
         self._reserve_for_overdue(team, jobs, now, ages.starving_s)
         reserved = reserved_for_overdue(team)
-        guarantee_left = team.guarantee
+        guarantee_left = team.cpu_guarantee
         is_oldest = True
         found: list[Candidate] = []
         for job in jobs:
             spec = job.spec
-            if spec is None or job.finished or job.blocked:
+            if spec is None or job.is_finished or job.is_blocked:
                 continue
             # The guarantee is for teams whose unfinished jobs fit into it whole. Counting only what is left of
             # them would let nearly every job preempt others' tasks once most of it is done.
             total_vcpus = spec.vcpus * job.task_count
-            within_guarantee = team.guarantee > 0 and total_vcpus <= guarantee_left + ROUNDING_TOLERANCE
+            within_guarantee = team.cpu_guarantee > 0 and total_vcpus <= guarantee_left + ROUNDING_TOLERANCE
             guarantee_left -= total_vcpus
-            if job.waiting_count() <= 0 or not self._may_be_placed(job, now):
+            if job.count_waiting() <= 0 or not self._may_be_placed(job, now):
                 continue
             overdue = self._is_overdue(job, now, ages.starving_s)
             allowed = tasks_within_limit(job, remaining, NOTHING_RESERVED if overdue else reserved)
             borrows = allowed <= 0 and self._may_borrow(job, spec, now, ages.starving_s)
             if borrows:
                 allowed = min(1, tasks_within_limit(job, remaining, NOTHING_RESERVED))
-            count = self._placeable(job, min(job.waiting_count(), allowed))
+            count = self._placeable(job, min(job.count_waiting(), allowed))
             if count <= 0:
                 continue
             starving = now - job.waiting_since > ages.starving_s
-            if is_oldest and not job.failing and now - job.schedulable_since > ages.begin_s:
+            if is_oldest and not job.is_failing and now - job.schedulable_since > ages.begin_s:
                 overdue, is_oldest = True, False
             standing = Standing(within_guarantee, starving, overdue, self._is_late(job, spec, now), borrows)
             found.append(Candidate(team, job, spec, count, standing))
@@ -174,22 +174,22 @@
 
     @staticmethod
     def _may_be_placed(job: Job, now: float) -> bool:
-        return job.loaded and job.write_state is not WriteState.UNCERTAIN and job.not_before <= now
+        return job.is_loaded and job.write_state is not WriteState.UNCERTAIN and job.placement_not_before <= now
 
     @staticmethod
     def _placeable(job: Job, count: int) -> int:
         """How many of `count` tasks may be placed at once."""
-        if job.gang:
+        if job.is_gang:
             # A gang is one task of the paper's: all of it at once, after every earlier attempt is off its machine.
-            return 0 if job.attempts or job.staged or count < job.waiting_count() else count
-        if job.failing:
+            return 0 if job.attempts or job.staged or count < job.count_waiting() else count
+        if job.is_failing:
             return min(count, max(0, 1 - len(job.attempts)))
         return count
 
     @staticmethod
     def _is_overdue(job: Job, now: float, starving_age_s: float) -> bool:
         """Whether a job has waited for long and has not begun at all. One that fails wherever it is tried has begun."""
-        if job.failing:
+        if job.is_failing:
             return False
         return now - job.schedulable_since > starving_age_s and not (job.done_count or job.attempts or job.staged)
 
@@ -212,9 +212,9 @@
         job of larger ones never began though machines had capacity.
         """
         reserved = [0.0, 0.0]
-        most = (team.limit * RESERVED_SHARE, team.gpus_limit * RESERVED_SHARE)
+        most = (team.cpu_limit * RESERVED_SHARE, team.gpu_limit * RESERVED_SHARE)
         for job in jobs:
-            if job.spec is None or job.gang or job.blocked or job.not_before > now:
+            if job.spec is None or job.is_gang or job.is_blocked or job.placement_not_before > now:
                 continue
             if not self._is_overdue(job, now, starving_age_s):
                 continue
@@ -239,7 +239,7 @@
     def zone_limits(job: Job, spec: JobSpec, zones: list[str]) -> dict[str, int]:
         """Most tasks of a job that may still go to each zone; zones without an entry are not limited."""
         limits: dict[str, int] = {}
-        used = job.zones()
+        used = job.occupied_zones()
         for zone in zones:
             most = spec.task_count
             if spec.zone is not None and zone != spec.zone:
@@ -259,7 +259,7 @@
         guarantee waits for half of what its objective allows, and work above standard priority for a quarter (its
         launch and fetch are still to come); without an objective, a job of that priority itself does not wait.
         """
-        if candidate.job.failing:
+        if candidate.job.is_failing:
             return False
         waited = now - candidate.job.waiting_since
         spec = candidate.spec
@@ -275,6 +275,6 @@
         had each task of the others wait for half of what the objective for guaranteed starts allows.
         """
         return (
-            not candidate.job.failing
+            not candidate.job.is_failing
             and candidate.requirements.priority > self._job_index.lowest_checkpointing_priority
         )
--- a/tealhook/scheduling/commit_outcomes.py
+++ b/tealhook/scheduling/commit_outcomes.py
@@ -154,7 +154,7 @@
                 del job.staged[attempt.index]
                 job.return_task(attempt.index, now)
         if job_ended:
-            job.not_before = max(job.not_before, now + self._workers.report_s)
+            job.placement_not_before = max(job.placement_not_before, now + self._workers.report_s)
             self._read_back.read_job_record(job)
 
     def _start_read_back(self, write: JobWrite) -> None:
--- a/tealhook/scheduling/demand.py
+++ b/tealhook/scheduling/demand.py
@@ -30,7 +30,7 @@
     def progress(self) -> dict[str, wire.JobProgress]:
         """Tasks done and tasks running, by job."""
         return {
-            job.id: wire.JobProgress(job.done_count, job.running_count())
+            job.id: wire.JobProgress(job.done_count, job.count_running())
             for team_state in self._teams.values()
             for job in team_state.jobs.values()
             if job.spec is not None
@@ -46,15 +46,15 @@
         for team_state in self._teams.values():
             headroom = _Headroom(team_state)
             for job in _oldest_first(team_state):
-                count = job.waiting_count()
+                count = job.count_waiting()
                 if job.spec is None or count <= 0:
                     continue
-                if job.failing:
+                if job.is_failing:
                     count = 1  # capacity for its next retry, no more: it may fail wherever it is tried
                 count = headroom.take(count, job.resources[0])
                 if count <= 0:
                     continue
-                requirements = job.requirements()
+                requirements = job.build_requirements()
                 entry = found.setdefault(
                     (team_state.name, requirements, job.spec.zone),
                     wire.Demand(team_state.name, requirements, job.spec.zone, 0, job.spec.job_class),
@@ -72,11 +72,11 @@
                 if job.spec is None or job.spec.allows_spot:
                     continue
                 count, kind = len(job.attempts) + len(job.staged), placed
-                if job.blocked and self._is_released_soon(job):
+                if job.is_blocked and self._is_released_soon(job):
                     count, kind = headroom.take(job.task_count, job.resources[0]), blocked
                 if count > 0:
                     kind.append(
-                        wire.Demand(team_state.name, job.requirements(), job.spec.zone, count, job.spec.job_class)
+                        wire.Demand(team_state.name, job.build_requirements(), job.spec.zone, count, job.spec.job_class)
                     )
         return blocked, placed
 
@@ -95,7 +95,7 @@
     """The CPUs that a team may still use within its limit."""
 
     def __init__(self, team_state: TeamState) -> None:
-        self._cpus = team_state.limit - team_state.allocated() if team_state.limit > 0 else UNLIMITED_CPUS
+        self._cpus = team_state.cpu_limit - team_state.allocated() if team_state.cpu_limit > 0 else UNLIMITED_CPUS
 
     def take(self, count: int, cpus: float) -> int:
         """Of `count` tasks of so many CPUs each, how many fit; what they use is taken."""
@@ -116,5 +116,5 @@
         for job in team_state.jobs.values()
         if job.spec is not None and job.priority > STANDARD_RANK
     )
-    over_guarantee = max(0.0, used - team_state.guarantee) if team_state.guarantee > 0 else used
+    over_guarantee = max(0.0, used - team_state.cpu_guarantee) if team_state.cpu_guarantee > 0 else used
     return wire.TeamUsage(team_state.name, used, urgent, over_guarantee)
--- a/tealhook/scheduling/dependencies.py
+++ b/tealhook/scheduling/dependencies.py
@@ -55,7 +55,7 @@
         to_cancel: list[str] = []
         for job in self._due_jobs:
             entry = self._job_index.active.get(job)
-            if entry is None or not entry.blocked or entry.team not in self._teams or job in self._cancelling:
+            if entry is None or not entry.is_blocked or entry.team not in self._teams or job in self._cancelling:
                 continue
             for dependency in self._job_index.unknown_dependencies(job):
                 self._read_dependency(dependency, job)
@@ -71,7 +71,7 @@
         if dependency in self._reading:
             return
         self._reading.add(dependency)
-        self._records.read(dependency, partial(self._on_dependency_read, dependency, job))
+        self._records.read_into_index(dependency, partial(self._on_dependency_read, dependency, job))
 
     def _on_dependency_read(
         self, dependency: str, job: str, outcome: ReadOutcome, _record: JobRecord | None, _version: int
@@ -84,7 +84,7 @@
         """Write that jobs are cancelled, several at once."""
         active = self._job_index.active
         self._cancelling.update(jobs)
-        self._records.end(
+        self._records.end_jobs(
             {
                 job: (self._records.build_ended_record(active[job].team, JobState.CANCELLED), active[job].mod_revision)
                 for job in jobs
@@ -107,7 +107,7 @@
             self._schedule(self._pause if outcome is Outcome.CONFLICTED else RETRY_PAUSES * self._pause)
 
     def _read_again(self, job: str) -> None:
-        self._records.read(job, partial(self._on_read_again, job))
+        self._records.read_into_index(job, partial(self._on_read_again, job))
 
     def _on_read_again(self, job: str, _outcome: ReadOutcome, record: JobRecord | None, _version: int) -> None:
         if record is None or record.status == JobState.ACTIVE:
--- a/tealhook/scheduling/failure_backoff.py
+++ b/tealhook/scheduling/failure_backoff.py
@@ -7,7 +7,7 @@
 from tealhook.context import NodeContext
 from tealhook.jobs.attempt import Attempt
 from tealhook.jobs.job import Job
-from tealhook.jobs.tasks import FAILING_THRESHOLD
+from tealhook.jobs.tasks import FAILING_JOB_MIN_FAILURES
 from tealhook.wire.workers import ExitCause
 
 log = logging.getLogger(__name__)
@@ -30,14 +30,14 @@
             self._delay_failing_job(job, attempt, now)
         elif cause in REFUSALS:
             log.info("%s/%d refused by %s: %s", job.id, attempt.index, attempt.machine, cause)
-            job.not_before = max(job.not_before, now + self._report_s / 2)
+            job.placement_not_before = max(job.placement_not_before, now + self._report_s / 2)
 
     def _delay_failing_job(self, job: Job, attempt: Attempt, now: float) -> None:
         job.record_failure(attempt.machine)
-        if job.failing:
-            doublings = min(job.failures - FAILING_THRESHOLD, MAX_DOUBLINGS)
+        if job.is_failing:
+            doublings = min(job.consecutive_failures - FAILING_JOB_MIN_FAILURES, MAX_DOUBLINGS)
             pause = self._report_s * 2**doublings
-            job.not_before = now + pause * (0.75 + 0.5 * self._effects.rng.random())
+            job.placement_not_before = now + pause * (0.75 + 0.5 * self._effects.rng.random())
         log.debug("%s/%d failed on %s", job.id, attempt.index, attempt.machine)
-        if job.failures == FAILING_THRESHOLD:  # once, however often it fails from now on
-            log.info("%s: %d tasks failed and none is done: retried one at a time", job.id, job.failures)
+        if job.consecutive_failures == FAILING_JOB_MIN_FAILURES:  # once, however often it fails from now on
+            log.info("%s: %d tasks failed and none is done: retried one at a time", job.id, job.consecutive_failures)
--- a/tealhook/scheduling/job_building.py
+++ b/tealhook/scheduling/job_building.py
@@ -27,7 +27,7 @@
         if entry is not None:
             self.update_priority(job, entry, now)
             job.schedulable_since = job.waiting_since = self.schedulable_since(entry, now)
-            if entry.blocked:
+            if entry.is_blocked:
                 self._check_dependencies(job_id)
         return job
 
--- a/tealhook/scheduling/job_committer.py
+++ b/tealhook/scheduling/job_committer.py
@@ -102,12 +102,12 @@
         now = self._effects.now()
         pending = PendingJobs([], [])
         for team_state in self._teams.values():
-            if not team_state.ready:
+            if not team_state.is_ready:
                 continue
             for job in team_state.jobs.values():
                 if job.write_state is not WriteState.SETTLED or now < job.write_not_before:
                     continue
-                if job.staged or job.finished:
+                if job.staged or job.is_finished:
                     pending.required.append(PendingJob(team_state, job))
                 elif self._needs_deferrable_write(job, now):
                     pending.deferrable.append(PendingJob(team_state, job))
@@ -122,7 +122,7 @@
     @staticmethod
     def _by_importance(pending: list[PendingJob]) -> list[PendingJob]:
         """Jobs above standard priority first; then finished ones, and those with most tasks done."""
-        ordered = sorted(pending, key=lambda item: (not item.job.finished, -item.job.done_count))
+        ordered = sorted(pending, key=lambda item: (not item.job.is_finished, -item.job.done_count))
         prioritized: list[PendingJob] = []
         others: list[PendingJob] = []
         for item in ordered:
--- a/tealhook/scheduling/job_writes.py
+++ b/tealhook/scheduling/job_writes.py
@@ -75,7 +75,7 @@
 
     def build(self, team_state: TeamState, job: Job) -> JobWrite | None:
         """The write that makes a job's present state durable; None when there is nothing to write."""
-        if job.finished:
+        if job.is_finished:
             return self._build_finish(team_state, job)
         if job.spec is None:
             return self._build_delete(team_state, job)
@@ -165,7 +165,7 @@
         # A chunk that is written, and another whose attempts move to it, take a condition each.
         other_conditions = FIXED_CONDITIONS + 2 * limits.max_chunks + len(job.uncertain_chunks)
         self._limit_zones(job, max_conditions - other_conditions)
-        chunks: dict[int, dict | None] = {**job.lay_out(int(limits.max_bytes), limits.max_chunks)}
+        chunks: dict[int, dict | None] = {**job.lay_out_chunks(int(limits.max_bytes), limits.max_chunks)}
         self._unstage(job, (attempt for attempt in job.staged.values() if attempt.chunk < 0))
         return chunks
 
--- a/tealhook/scheduling/planning.py
+++ b/tealhook/scheduling/planning.py
@@ -90,7 +90,7 @@
         selection = self._selection
         partitions = {zone: self._view(candidate, zone, capacity) for zone, capacity in capacities.items()}
         zone_limits = selection.zone_limits(candidate.job, spec, list(capacities))
-        if spec.single_zone and not candidate.job.zones():
+        if spec.single_zone and not candidate.job.occupied_zones():
             # All of the job must go to one zone: the one with most capacity now.
             best = max(
                 capacities, key=lambda zone: (partitions[zone].cached + partitions[zone].uncached, zone), default=None
@@ -112,9 +112,9 @@
     @staticmethod
     def _view(candidate: Candidate, zone: str, capacity: wire.Capacity) -> PartitionView:
         """A partition's capacity for a candidate."""
-        feedback = candidate.team.factors.get(zone)
+        feedback = candidate.team.estimate_feedback.get(zone)
         factor = feedback.factor if feedback else 0.0
-        if not candidate.job.gang:
+        if not candidate.job.is_gang:
             return PartitionView(
                 capacity.cached, capacity.uncached, capacity.next_free_s, capacity.fetch_gb_per_s, factor
             )
@@ -143,7 +143,7 @@
         or may preempt.
         """
         choice = reservation.choice
-        if reservation.candidate.job.gang and choice.count < reservation.candidate.count:
+        if reservation.candidate.job.is_gang and choice.count < reservation.candidate.count:
             return False
         return not choice.awaits_capacity or choice.group.starving or choice.group.can_preempt
 
--- a/tealhook/scheduling/read_back.py
+++ b/tealhook/scheduling/read_back.py
@@ -53,7 +53,7 @@
             elif outcome is ReadOutcome.UNKNOWN:
                 self._effects.later(RECORD_RETRY_S, lambda: self.read_job_record(job))
 
-        self._records.read(job.id, on_record)
+        self._records.read_into_index(job.id, on_record)
 
     def read_assignments(self, team_state: TeamState, job: Job) -> None:
         """Nobody knows whether a write of the job was executed: read its assignment record until it is known.
--- a/tealhook/scheduling/reconciliation.py
+++ b/tealhook/scheduling/reconciliation.py
@@ -94,8 +94,8 @@
             allowed_s = default_s
             for job, attempt in self._attempt_index.find(machine, team_state):
                 self._settle_launch(attempt, asked_at, reply)
-                if job.ended_since is not None:
-                    allowed_s = min(allowed_s, self._time_before_fencing(now - job.ended_since, default_s, single_s))
+                if job.stopping_since is not None:
+                    allowed_s = min(allowed_s, self._time_before_fencing(now - job.stopping_since, default_s, single_s))
             # A machine that never reported under this token counts from when its owner took over.
             if (silent_s if silent_s >= 0 else reply.owned_s) > allowed_s:
                 unreachable.append(machine)
--- a/tealhook/scheduling/staging.py
+++ b/tealhook/scheduling/staging.py
@@ -36,11 +36,11 @@
         if spec is None or not self._is_owned(candidate.team) or job.write_state is WriteState.UNCERTAIN:
             return 0
         count = self._stageable(candidate, spec, planned.zone, len(grants))
-        if job.gang and count < job.waiting_count():
+        if job.is_gang and count < job.count_waiting():
             return 0
         indexes = job.take_waiting_tasks(count)
         for position, (index, grant) in enumerate(zip(indexes, grants, strict=False)):
-            if not (job.gang and position):  # the tasks of a gang find one another by their attempt
+            if not (job.is_gang and position):  # the tasks of a gang find one another by their attempt
                 job.last_attempt_number += 1
             attempt = self._attempt(job, index, grant, planned.zone, token, planned_at)
             attempt.estimate = PlacementEstimate(planned_at, grant.fetch_s, spec.estimated_run_s)
--- a/tealhook/scheduling/stop_commands.py
+++ b/tealhook/scheduling/stop_commands.py
@@ -40,9 +40,9 @@
     def forget_finished(self, team_state: TeamState, job: Job) -> None:
         """Have workers forget tasks whose outcome is on record: before, a repeated launch would start them anew."""
         stops_by_zone: dict[str, list[wire.TaskStop]] = {}
-        for zone, machine, index, number in job.to_forget:
+        for zone, machine, index, number in job.tasks_to_forget:
             stop = wire.TaskStop(machine, job.id, index, number, wire.FORGET)
             stops_by_zone.setdefault(zone, []).append(stop)
-        job.to_forget.clear()
+        job.tasks_to_forget.clear()
         for zone, stops in stops_by_zone.items():
             self.send(team_state, zone, stops)
--- a/tealhook/scheduling/team_limits.py
+++ b/tealhook/scheduling/team_limits.py
@@ -28,8 +28,8 @@
     `count_gpus`: False where no GPUs are needed, since to add up what all jobs have takes time.
     """
     return LimitedResources(
-        team.limit - team.allocated(CPUS) if team.limit > 0 else NO_LIMIT,
-        team.gpus_limit - team.allocated(GPUS) if count_gpus and team.gpus_limit > 0 else NO_LIMIT,
+        team.cpu_limit - team.allocated(CPUS) if team.cpu_limit > 0 else NO_LIMIT,
+        team.gpu_limit - team.allocated(GPUS) if count_gpus and team.gpu_limit > 0 else NO_LIMIT,
     )
 
 
--- a/tealhook/scheduling/team_recovery.py
+++ b/tealhook/scheduling/team_recovery.py
@@ -60,7 +60,7 @@
         """Read all durable records of a team. Given up as soon as this node no longer owns it under the same token."""
         if not self._is_current(team_state):
             return
-        if not self._job_index.synced:
+        if not self._job_index.is_synced:
             self._effects.later(INDEX_POLL_S, partial(self.recover, team_state))
             return
         self._store.list(assignment_key(team_state.name, ""), partial(self._on_assignments_read, team_state))
@@ -120,7 +120,7 @@
         for job_id, entry in self._job_index.active.items():
             if entry.team == team_state.name and job_id not in team_state.jobs:
                 team_state.jobs[job_id] = self._job_builder.build(job_id, team_state.name, now)
-                team_state.jobs[job_id].loaded = True
+                team_state.jobs[job_id].is_loaded = True
         self._on_recovered(team_state)
 
     def _load_assignments(self, team_state: TeamState, rows: list[state_wire.KeyValue], now: float) -> None:
--- a/tealhook/scheduling/team_scheduler.py
+++ b/tealhook/scheduling/team_scheduler.py
@@ -99,9 +99,9 @@
         settings = self._team_settings.get(team)
         if token is not None and settings is not None:
             team_state = self.teams[team] = TeamState(team, token)
-            team_state.guarantee = settings.cpus
-            team_state.limit = settings.cpus_max
-            team_state.gpus_limit = settings.gpus_max
+            team_state.cpu_guarantee = settings.cpus
+            team_state.cpu_limit = settings.cpus_max
+            team_state.gpu_limit = settings.gpus_max
             self._recovery.recover(team_state)
 
     def _on_team_recovered(self, team_state: TeamState) -> None:
@@ -110,11 +110,11 @@
         for job in team_state.jobs.values():
             for attempt in job.attempts.values():
                 self._attempt_index.add(team_state, job, attempt)
-        team_state.ready = True
+        team_state.is_ready = True
         log.info("team %s: recovered %d jobs", team_state.name, len(team_state.jobs))
         for job in team_state.jobs.values():
             if job.spec is None:
-                job.ended_since = now - self._job_index.seconds_since_cancelled(job.id)
+                job.stopping_since = now - self._job_index.seconds_since_cancelled(job.id)
                 self._stop_commands.stop_all(team_state, job)
         self._reconciliation.reconcile(team_state)
         self.cycle.wake()
@@ -125,7 +125,7 @@
         """The job index has a change of a job: submitted, released, cancelled or done."""
         team = self._job_index.team_of(job_id)
         team_state = self.teams.get(team) if team else None
-        if team_state is None or not team_state.ready:
+        if team_state is None or not team_state.is_ready:
             return
         job = team_state.jobs.get(job_id)
         entry = self._job_index.active.get(job_id)
@@ -135,26 +135,26 @@
             self._on_job_ended(team_state, job)
 
     def _on_active_job_changed(self, team_state: TeamState, job_id: str, job: Job | None, entry: JobEntry) -> None:
-        if entry.blocked:
+        if entry.is_blocked:
             self._dependencies.schedule_check(job_id)
         now = self._effects.now()
         if job is None:
             job = team_state.jobs[job_id] = self._job_builder.build(job_id, team_state.name, now)
-            job.loaded = True
+            job.is_loaded = True
             self.cycle.wake()
         elif job.spec is None:
             log.error("%s is active, but was taken for ended: its team is recovered again", job_id)
             self.on_ownership_change(team_state.name, team_state.token)
         else:
             self._job_builder.update_priority(job, entry, now)
-            if job.blocked and not entry.blocked:
-                job.blocked = False
+            if job.is_blocked and not entry.is_blocked:
+                job.is_blocked = False
                 job.schedulable_since = job.waiting_since = self._job_builder.schedulable_since(entry, now)
                 self.cycle.wake()
 
     def _on_job_ended(self, team_state: TeamState, job: Job) -> None:
         job.spec = None  # terminal: nothing of it starts any more
-        job.ended_since = self._effects.now() - self._job_index.seconds_since_cancelled(job.id)
+        job.stopping_since = self._effects.now() - self._job_index.seconds_since_cancelled(job.id)
         self._stop_commands.stop_all(team_state, job)
         self._job_cleanup.remove_if_unassigned(team_state, job)
 
@@ -202,11 +202,11 @@
 
     def _reconcile_all(self) -> None:
         for team_state in list(self.teams.values()):
-            if team_state.ready:
+            if team_state.is_ready:
                 for job in team_state.jobs.values():
                     if job.spec is None:
                         self._stop_commands.stop_all(team_state, job)  # a stop may have been lost on its way
-                    elif job.blocked:
+                    elif job.is_blocked:
                         self._dependencies.schedule_check(job.id)
                 self._reconciliation.reconcile(team_state)
 
@@ -214,9 +214,9 @@
         """Let feedback of teams without waiting tasks fade, and write what need not be durable at once."""
         now = self._effects.now()
         for team_state in self.teams.values():
-            waiting = any(job.waiting_count() > 0 for job in team_state.jobs.values())
+            waiting = any(job.count_waiting() > 0 for job in team_state.jobs.values())
             if not waiting:
-                for factor in team_state.factors.values():
+                for factor in team_state.estimate_feedback.values():
                     factor.decay(now, self._workers.lease_s)
         self.commits.schedule_commit()
 
--- a/tests/test_combined_faults_failover.py
+++ b/tests/test_combined_faults_failover.py
@@ -118,9 +118,9 @@
 
 
 def test_not_counting_tasks_of_cancelled_jobs_violates_quota(monkeypatch):
-    def taken(self, which=0):
+    def taken(self, resource=0):
         return sum(
-            job.resources[which] * (len(job.attempts) + len(job.staged))
+            job.resources[resource] * (len(job.attempts) + len(job.staged))
             for job in self.jobs.values()
             if job.spec is not None
         )
--- a/tests/test_dependency_cancellation.py
+++ b/tests/test_dependency_cancellation.py
@@ -281,7 +281,7 @@
 def _read_one_record_alone(patch):
     """Two guards: a question brings the view of all records up to date, and an old view tells nothing."""
     _answer_what_was_read(patch)
-    patch.setattr(JobReader, "read", JobReader.read_record)
+    patch.setattr(JobReader, "read", JobReader.read_record_into_index)
 
 
 @pytest.mark.parametrize(
--- a/tests/test_dependency_validation.py
+++ b/tests/test_dependency_validation.py
@@ -25,7 +25,7 @@
 @pytest.mark.parametrize("names", [MISSING, "null", "[]"])
 def test_missing_null_and_empty_lists_name_no_dependency(client, names):
     job = _accepted(client, waits_on=names)
-    assert not client.cluster.controllers["n0"].job_index.active[job].blocked
+    assert not client.cluster.controllers["n0"].job_index.active[job].is_blocked
     assert client.cancel(job)[0] == 200
 
 
--- a/tests/test_failing_jobs.py
+++ b/tests/test_failing_jobs.py
@@ -98,5 +98,5 @@
 
 def _failing(node: Controller, job: str) -> bool:
     return any(
-        job in team_state.jobs and team_state.jobs[job].failing for team_state in node.team_scheduler.teams.values()
+        job in team_state.jobs and team_state.jobs[job].is_failing for team_state in node.team_scheduler.teams.values()
     )
--- a/tests/test_guards.py
+++ b/tests/test_guards.py
@@ -62,7 +62,7 @@
 
 
 def _ignore_quota(patch):
-    patch.setattr(TeamState, "allocated", lambda self, which=0: 0.0)
+    patch.setattr(TeamState, "allocated", lambda self, resource=0: 0.0)
 
 
 def _ignore_zone_limits(patch):
--- a/tests/test_job_records.py
+++ b/tests/test_job_records.py
@@ -73,7 +73,7 @@
     ends = {
         job: (records.build_ended_record("team", JobState.CANCELLED), version) for job, version in (("a", 3), ("b", 9))
     }
-    records.end(ends, lambda outcome, uncertain: told.append((outcome, uncertain, len(index.learned))), 0.5, 1.5)
+    records.end_jobs(ends, lambda outcome, uncertain: told.append((outcome, uncertain, len(index.learned))), 0.5, 1.5)
     return store, index, told
 
 
@@ -116,8 +116,8 @@
 def test_read_updates_index_before_callback_and_fetch_does_not():
     records, store, index = _records()
     told: list[tuple] = []
-    record = JobRecord("team", JobState.DONE, at=7.5)
-    records.read("a", lambda *what: told.append((*what, len(index.learned))), CallPriority.ADMIT, 0.5, 1.5)
+    record = JobRecord("team", JobState.DONE, status_since=7.5)
+    records.read_into_index("a", lambda *what: told.append((*what, len(index.learned))), CallPriority.ADMIT, 0.5, 1.5)
     assert store.calls == [("job/a", CallPriority.ADMIT, 0.5, 1.5)]
     store.answer(ReadResult(ReadOutcome.FOUND, KeyValue("job/a", ROW, 8)))
     assert told == [(ReadOutcome.FOUND, record, 8, 1)] and index.learned == [("a", record, 8)]
@@ -137,7 +137,7 @@
 def test_missing_record_does_not_update_index(outcome, item):
     records, store, index = _records()
     told: list[tuple] = []
-    records.read("a", lambda found, record, _version: told.append((found, record)))
+    records.read_into_index("a", lambda found, record, _version: told.append((found, record)))
     store.answer(ReadResult(outcome, item))
     assert told == [(outcome, None)] and index.learned == []
 
@@ -171,6 +171,6 @@
         return whole(self, chunk, attempts, limit)
 
     monkeypatch.setattr(Job, "encode", encode)
-    written = job.lay_out(LIMIT, 7)
+    written = job.lay_out_chunks(LIMIT, 7)
     assert encoded == [0]
     assert written == {0: whole(job, 0, job.attempts_by_chunk()[0], LIMIT)}
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -85,7 +85,11 @@
 def test_production_job_ownership_and_type_records_are_read():
     jobs = {name: parse_record(value) for name, value in PRODUCTION["jobs"].items()}
     assert {name: record.status for name, record in jobs.items()} == {name: name for name in jobs} and len(jobs) == 3
-    assert jobs["active"].spec.task_count == 600 and jobs["active"].spec.image_gb == 0.9 and jobs["active"].at == 1e9
+    assert (
+        jobs["active"].spec.task_count == 600
+        and jobs["active"].spec.image_gb == 0.9
+        and jobs["active"].status_since == 1e9
+    )
     assert set(PRODUCTION["own"]) == {"n", "b", "z"} and int(PRODUCTION["own"]["b"], 16) == 0x38538D0EA8C72DB3
     assert msgspec.convert(PRODUCTION["types"], MachineTypes).machine_types[0].zones == ["za", "zb"]
 
@@ -129,7 +133,7 @@
 
 def _step(job: Job, durable: dict[int, dict], most: int) -> dict[int, dict]:
     """One write, as the state service carries it out; every value and their number within limits."""
-    written = job.lay_out(LIMIT, most)
+    written = job.lay_out_chunks(LIMIT, most)
     assert 0 < len(written) <= most and all(len(encode_json(value)) <= LIMIT for value in written.values())
     job.dirty_chunks -= written.keys()
     for chunk, value in written.items():
@@ -187,7 +191,7 @@
 def test_attempt_ending_during_copy_is_removed_from_all_chunks():
     durable = {int(chunk): value for chunk, value in PRODUCTION["live_250"].items()}
     job = _read(durable)
-    written = job.lay_out(LIMIT, 2)
+    written = job.lay_out_chunks(LIMIT, 2)
     assert 0 not in written and job.moved_attempts
     attempt, target = job.moved_attempts[0]
     del job.attempts[attempt.index]
--- a/tests/test_records.py
+++ b/tests/test_records.py
@@ -57,7 +57,7 @@
     """Guards against the widest jobs being narrower than their room: 8 KiB name some 250 machines."""
     job, again = _job(2000), _job(2000)
     _stage(job, range(1000), 0)
-    written = job.lay_out(LIMIT, 7)
+    written = job.lay_out_chunks(LIMIT, 7)
     assert len(written) > 3 and all(len(encode_json(value)) <= LIMIT for value in written.values())
     assert all(a.chunk >= 0 for a in job.staged.values())
     job.attempts, job.staged = job.staged, {}
@@ -74,20 +74,20 @@
     for index in gone:
         job.dirty_chunks.add(job.attempts.pop(index).chunk)
         job.mark_done(index)
-    assert job.lay_out(LIMIT, 7).keys() == {0, 2}
+    assert job.lay_out_chunks(LIMIT, 7).keys() == {0, 2}
 
 
 def test_overflow_is_left_for_next_write_and_done_ranges_shrink():
     job = _job(20_000)
     _stage(job, range(3000), 0)
-    written = job.lay_out(LIMIT, 7)
+    written = job.lay_out_chunks(LIMIT, 7)
     assert len(written) == 7 and {a.chunk for a in job.staged.values()} == {-1, *range(7)}
     ragged = _job(20_000)
     for index in range(0, 20_000, 2):
         ragged.mark_done(index)
     for index in range(9000, 9500):
         ragged.mark_done(index)
-    value = ragged.lay_out(LIMIT, 7)[0]
+    value = ragged.lay_out_chunks(LIMIT, 7)[0]
     assert len(encode_json(value)) <= LIMIT and [9000, 9500] in value["d"]  # the longest stays
 
 
--- a/tests/test_rule_checker.py
+++ b/tests/test_rule_checker.py
@@ -80,7 +80,7 @@
 
 def test_checker_detects_wrongly_accepted_and_invented_jobs(monkeypatch):
     cluster, _job = _single_job()
-    monkeypatch.setattr(JobValidator, "find_obstacle", lambda self, spec: None)
+    monkeypatch.setattr(JobValidator, "find_infeasibility_reason", lambda self, spec: None)
     user_requests.submit_invalid_job(cluster, unsatisfiable=True)
     with pytest.raises(RuleViolationError, match="accepted_wrong"):
         cluster.run(5.0)
--- a/tests/test_upgrade_runs.py
+++ b/tests/test_upgrade_runs.py
@@ -106,7 +106,7 @@
 
 
 def _without_check_at_start(patch: pytest.MonkeyPatch) -> None:
-    patch.setattr(Job, "blocked", property(lambda self: False, lambda self, value: None), raising=False)
+    patch.setattr(Job, "is_blocked", property(lambda self: False, lambda self, value: None), raising=False)
 
 
 def _without_cancelled_dependents(patch: pytest.MonkeyPatch) -> None:
