--- a/tests/test_dependency_cancellation.py
+++ b/tests/test_dependency_cancellation.py
@@ -236,7 +236,7 @@
 
 
 def _start_held(patch):
-    patch.setattr(Job, "blocked", property(lambda self: False, lambda self, value: None), raising=False)
+    patch.setattr(Job, "is_blocked", property(lambda self: False, lambda self, value: None), raising=False)
 
 
 def _answer_what_was_read(patch):
