--- a/tealhook/admission/__init__.py
+++ b/tealhook/admission/__init__.py
@@ -1,4 +1,4 @@
-"""Admission: submissions, polls and cancellations of users, answered from what is durable."""
+"""Admission of jobs: answers to users' submissions, polls and cancellations, based on durable state."""
 
 from tealhook.admission.admission import Admission
 
--- a/tealhook/admission/admission.py
+++ b/tealhook/admission/admission.py
@@ -1,7 +1,7 @@
-"""The users' interface to jobs: submissions, polls and cancellations.
+"""The interface of users to jobs: submissions, polls and cancellations.
 
-Any node admits, answers and cancels; the state service decides. What can't be done at once is refused at once, with
-a time after which to retry: no request is queued.
+Every node handles all requests, and the state store decides between concurrent ones. Requests are not queued: one that
+can't be handled at once is refused with a time after which to retry.
 """
 
 from __future__ import annotations
@@ -26,7 +26,7 @@
 
 
 class Admission:
-    """Submits, polls and cancels jobs for users."""
+    """Handles the submissions, polls and cancellations of users."""
 
     def __init__(
         self,
@@ -37,24 +37,28 @@
         progress: Mapping[str, JobProgress],
         versions: Versions,
     ) -> None:
-        """Jobs are validated against `machine_types`, as far as these are known; `progress` is shown to users."""
-        records = JobRecordStore(context, store, job_index)
-        reader = JobReader(context, job_index, records)
+        """Initialize admission.
+
+        Jobs are validated against `machine_types`, which is empty until they are known. `progress` of active jobs is
+        shown to users.
+        """
+        record_store = JobRecordStore(context, store, job_index)
+        reader = JobReader(context, job_index, record_store)
         responder = Responder(context, store, progress)
-        self._cancellations = CancellationHandler(job_index, records, reader, responder)
-        statuses = StatusReplier(context, job_index, reader, responder, self._cancellations)
-        self._polls = PollHandler(job_index, reader, responder, statuses)
+        self._cancellations = CancellationHandler(job_index, record_store, reader, responder)
+        status_replier = StatusReplier(context, job_index, reader, responder, self._cancellations)
+        self._polls = PollHandler(job_index, reader, responder, status_replier)
         validator = JobValidator(context, machine_types, versions)
-        self._submissions = SubmissionHandler(context, store, job_index, reader, responder, statuses, validator)
+        self._submissions = SubmissionHandler(context, store, job_index, reader, responder, status_replier, validator)
 
     def submit(self, body: bytes, reply: Reply) -> None:
-        """Accept a job, or answer with the status of the job that was accepted under its id."""
+        """Accept a job, or answer with the status of the job that was accepted earlier under its id."""
         self._submissions.submit(body, reply)
 
-    def answer_poll(self, job: str, reply: Reply) -> None:
-        """Answer with a job's status."""
-        self._polls.answer(job, reply)
+    def answer_poll(self, job_id: str, reply: Reply) -> None:
+        """Answer a poll with a job's status."""
+        self._polls.answer(job_id, reply)
 
-    def cancel(self, job: str, reply: Reply) -> None:
+    def cancel(self, job_id: str, reply: Reply) -> None:
         """Cancel a job at its user's request."""
-        self._cancellations.cancel(job, reply)
+        self._cancellations.cancel(job_id, reply)
--- a/tealhook/admission/job_reader.py
+++ b/tealhook/admission/job_reader.py
@@ -1,4 +1,4 @@
-"""Reads of jobs while their users wait for an answer."""
+"""Reads of job statuses for users who wait for an answer."""
 
 from __future__ import annotations
 
@@ -13,13 +13,13 @@
 from tealhook.jobs.record_store import JobRecordStore
 from tealhook.state_store import CallPriority, ReadIndex, ReadOutcome
 
-READ_TIMEOUT_S = 1.5  # a user waits 2 s for a poll's answer
+READ_TIMEOUT_S = 1.5  # users wait 2 s for the answer to a poll
 
 
-class JobRead(NamedTuple):
-    """A read that has ended.
+class JobReadResult(NamedTuple):
+    """The result of reading a job.
 
-    There is no record also where the job index answers in its place, and where the record can't be decoded.
+    `record` is None if the record is absent or malformed, and if the job index answered without reading the record.
     """
 
     outcome: ReadOutcome
@@ -27,80 +27,84 @@
     mod_revision: int = 0
 
 
-OnRead = Callable[[JobRead], Any]
-OnReads = Callable[[list[ReadOutcome]], Any]
+OnJobRead = Callable[[JobReadResult], Any]
+OnJobsRead = Callable[[list[ReadOutcome]], Any]
 
 
-def _to_on_record(done: OnRead) -> Callable[[ReadOutcome, JobRecord | None, int], Any]:
-    """Wrap `done` for `JobRecordStore`, which gives the parts of a read one by one."""
-    return lambda outcome, record, mod_revision: done(JobRead(outcome, record, mod_revision))
+def _as_record_callback(done: OnJobRead) -> Callable[[ReadOutcome, JobRecord | None, int], Any]:
+    """Adapt `done` to `JobRecordStore`, which passes the parts of a result as separate arguments."""
+    return lambda outcome, record, mod_revision: done(JobReadResult(outcome, record, mod_revision))
 
 
 class JobReader:
-    """Reads jobs through the job index where that is complete, and by their records otherwise."""
+    """Reads jobs from the job index if it is complete, and otherwise from their records."""
 
-    def __init__(self, context: NodeContext, job_index: JobIndex, records: JobRecordStore) -> None:
-        """`job_index` is brought up to date before it answers, and learns what is read by `records`."""
+    def __init__(self, context: NodeContext, job_index: JobIndex, record_store: JobRecordStore) -> None:
+        """Initialize a reader that refreshes `job_index` before it is used, and updates it with read records."""
         self._job_index = job_index
-        self._records = records
+        self._record_store = record_store
         self._read_index = ReadIndex(context, job_index.watcher, READ_TIMEOUT_S)
 
-    def read(self, job: str, done: OnRead) -> None:
-        """Learn what became of a job while its user waits for an answer.
+    def read(self, job_id: str, done: OnJobRead) -> None:
+        """Bring the job index up to date with a job, then call `done`.
 
-        Reads that come at about the same time share one call, which brings the view of all records up to date. A
-        record is read by itself only where that view may lack it.
+        Reads at about the same time share one call that refreshes the view of all records. A single record is read
+        only if that view may lack it.
         """
 
-        def refreshed(fresh: bool) -> None:
-            if not fresh:
-                done(JobRead(ReadOutcome.UNKNOWN))
-            elif self._job_index.status(job) is not None:
-                done(JobRead(ReadOutcome.FOUND))
+        def on_refreshed(is_fresh: bool) -> None:
+            if not is_fresh:
+                done(JobReadResult(ReadOutcome.UNKNOWN))
+            elif self._job_index.status(job_id) is not None:
+                done(JobReadResult(ReadOutcome.FOUND))
             elif self._job_index.is_complete:
-                done(JobRead(ReadOutcome.ABSENT))
+                done(JobReadResult(ReadOutcome.ABSENT))
             else:
-                self.read_record_into_index(job, done)
+                self.read_record_into_index(job_id, done)
 
         if self._job_index.is_synced:
-            self._read_index.read(refreshed)
+            self._read_index.read(on_refreshed)
         else:
-            self.read_record_into_index(job, done)
-
-    def read_record_into_index(self, job: str, done: OnRead) -> None:
-        """Read a job's record by itself; the job index learns it."""
-        self._records.read_into_index(job, _to_on_record(done), CallPriority.ADMIT, MAX_QUEUE_WAIT_S, READ_TIMEOUT_S)
-
-    def fetch_record(self, job: str, done: OnRead) -> None:
-        """Read a job's record by itself, and leave the job index as it is."""
-        self._records.fetch(job, _to_on_record(done), CallPriority.ADMIT, MAX_QUEUE_WAIT_S, READ_TIMEOUT_S)
-
-    def read_all(self, jobs: list[str], done: OnReads) -> None:
-        """Read several jobs; `done` is called once, with the outcome for each, when all reads have ended."""
+            self.read_record_into_index(job_id, done)
+
+    def read_record_into_index(self, job_id: str, done: OnJobRead) -> None:
+        """Read the record of a single job, and update the job index with it."""
+        self._record_store.read_into_index(
+            job_id, _as_record_callback(done), CallPriority.ADMIT, MAX_QUEUE_WAIT_S, READ_TIMEOUT_S
+        )
+
+    def fetch_record(self, job_id: str, done: OnJobRead) -> None:
+        """Read the record of a single job without updating the job index."""
+        self._record_store.fetch(
+            job_id, _as_record_callback(done), CallPriority.ADMIT, MAX_QUEUE_WAIT_S, READ_TIMEOUT_S
+        )
+
+    def read_all(self, job_ids: list[str], done: OnJobsRead) -> None:
+        """Read several jobs; `done` is called once with all outcomes, in the order in which the reads ended."""
         outcomes: list[ReadOutcome] = []
 
-        def job_read(job: str, read: JobRead) -> None:
-            if self.newest_status(job, read) is not None:
+        def on_job_read(job_id: str, result: JobReadResult) -> None:
+            if self.newest_status(job_id, result) is not None:
                 outcomes.append(ReadOutcome.FOUND)
-            elif read.outcome is ReadOutcome.ABSENT:
+            elif result.outcome is ReadOutcome.ABSENT:
                 outcomes.append(ReadOutcome.ABSENT)
             else:
                 outcomes.append(ReadOutcome.UNKNOWN)
-            if len(outcomes) == len(jobs):
+            if len(outcomes) == len(job_ids):
                 done(outcomes)
 
-        for job in jobs:
-            self.read(job, partial(job_read, job))
+        for job_id in job_ids:
+            self.read(job_id, partial(on_job_read, job_id))
 
-    def newest_status(self, job: str, read: JobRead) -> str | None:
-        """The status by a read, or by what the job index has learned during the read: that is newer.
+    def newest_status(self, job_id: str, result: JobReadResult) -> str | None:
+        """Return the status from the job index, which may have changed since the read, or else from the read.
 
-        A user who was told meanwhile by another node that the job is accepted or over must not hear otherwise here.
-        Without a read nothing is certain: what stands in memory may be old.
+        Another node may already have told the user that the job is accepted or has ended, and an answer must not
+        contradict this. Return None if the read failed, since the job index may be stale then.
         """
-        if read.outcome is ReadOutcome.UNKNOWN:
+        if result.outcome is ReadOutcome.UNKNOWN:
             return None
-        status = self._job_index.status(job)
+        status = self._job_index.status(job_id)
         if status is not None:
             return status
-        return read.record.status if read.record is not None else None
+        return result.record.status if result.record is not None else None
--- a/tealhook/admission/polls.py
+++ b/tealhook/admission/polls.py
@@ -1,10 +1,10 @@
-"""Polls: users ask for the status of a job."""
+"""Polls, with which users ask for the status of a job."""
 
 from __future__ import annotations
 
 from http import HTTPStatus
 
-from tealhook.admission.job_reader import JobRead, JobReader
+from tealhook.admission.job_reader import JobReader, JobReadResult
 from tealhook.admission.responses import Refusal, Responder
 from tealhook.admission.status_replies import StatusReplier
 from tealhook.http import Reply
@@ -16,32 +16,37 @@
 
 
 class PollHandler:
-    """Answers polls."""
+    """Answers polls of users."""
 
-    def __init__(self, job_index: JobIndex, reader: JobReader, responder: Responder, statuses: StatusReplier) -> None:
-        """Jobs that have ended are answered from `job_index`, all others by a read."""
+    def __init__(
+        self, job_index: JobIndex, reader: JobReader, responder: Responder, status_replier: StatusReplier
+    ) -> None:
+        """Initialize the handler; it answers from `job_index` for ended jobs, and by a read for all others."""
         self._job_index = job_index
         self._reader = reader
         self._responder = responder
-        self._statuses = statuses
+        self._status_replier = status_replier
 
-    def answer(self, job: str, reply: Reply) -> None:
-        """Answer a poll by a read: what this node remembers of an active job may be older than its last answer."""
-        if not valid_job_id(job):
+    def answer(self, job_id: str, reply: Reply) -> None:
+        """Answer a poll with the status of a job.
+
+        An active job is read even if it is in the index, which may be older than an answer of another node.
+        """
+        if not valid_job_id(job_id):
             self._responder.refuse(reply, NO_SUCH_JOB)
             return
-        ended = self._job_index.ended.get(job)
+        ended = self._job_index.ended.get(job_id)
         if ended is not None:
-            reply(HTTPStatus.OK, self._responder.status_body(job, ended[0]))
+            reply(HTTPStatus.OK, self._responder.status_body(job_id, ended[0]))
             return
 
-        def answer_read(read: JobRead) -> None:
-            status = self._reader.newest_status(job, read)
+        def on_read(result: JobReadResult) -> None:
+            status = self._reader.newest_status(job_id, result)
             if status is not None:
-                self._statuses.reply_status(HTTPStatus.OK, job, status, reply)
-            elif read.outcome is ReadOutcome.ABSENT:
+                self._status_replier.reply_status(HTTPStatus.OK, job_id, status, reply)
+            elif result.outcome is ReadOutcome.ABSENT:
                 self._responder.refuse(reply, NO_SUCH_JOB)
             else:
                 self._responder.reply_retry(reply, "state service unavailable")
 
-        self._reader.read(job, answer_read)
+        self._reader.read(job_id, on_read)
--- a/tealhook/admission/status_replies.py
+++ b/tealhook/admission/status_replies.py
@@ -1,4 +1,4 @@
-"""Answers that show the status of a job, also of one that may have been cancelled with a dependency."""
+"""Answers with the status of a job, including jobs that may have been cancelled with a dependency."""
 
 from __future__ import annotations
 
@@ -12,13 +12,14 @@
 from tealhook.jobs.index import JobIndex
 from tealhook.jobs.job_records import JobState
 
-# Of the time within which a job is cancelled with its dependency: an older view can't tell whether it was.
-STALE_VIEW_SHARE = 0.25
-MAX_DEPENDENCY_READS = 32  # jobs that are read at once for one answer
+# Maximum age of a view of the job records that can tell whether a job was cancelled with its dependency, as a share of
+# the time within which this happens.
+MAX_VIEW_AGE_SHARE = 0.25
+MAX_DEPENDENCY_READS = 32  # number of jobs that are read at the same time for one answer
 
 
 class StatusReplier:
-    """Answers with statuses that were read, or learned since."""
+    """Answers requests with the status of a job."""
 
     def __init__(
         self,
@@ -28,47 +29,48 @@
         responder: Responder,
         cancellations: CancellationHandler,
     ) -> None:
-        """`cancellations` writes the end of a job whose dependency was cancelled before that end is shown."""
+        """Initialize a replier; `cancellations` makes the end of a job durable before it is shown."""
         self._job_index = job_index
         self._reader = reader
         self._responder = responder
         self._cancellations = cancellations
-        self._max_view_age_s = context.workers.cancel_s * STALE_VIEW_SHARE
+        self._max_view_age_s = context.workers.cancel_s * MAX_VIEW_AGE_SHARE
 
     def reply_status(
-        self, code: HTTPStatus, job: str, status: str, reply: Reply, *, may_read_dependencies: bool = True
+        self, http_status: HTTPStatus, job_id: str, status: str, reply: Reply, *, may_read_dependencies: bool = True
     ) -> None:
-        """Answer with a status that was read, or learned since.
+        """Answer with a status that was read, or that the job index has received since.
 
-        A job that waits for others may have been cancelled with one of them, which its own record does not say at
-        once. Only our view of all records can tell; what it shows is made durable before it is shown, since another
-        node would else answer older, and a view that may lack a cancellation of long ago tells nothing.
+        A blocked job may have been cancelled with one of its dependencies, which its own record shows only later. Only
+        this node's view of all records can tell. Such a cancellation is made durable before it is shown, since other
+        nodes could still answer with the older status. If the view is too old or lacks a dependency, the user is asked
+        to retry.
         """
-        entry = self._job_index.active.get(job)
+        entry = self._job_index.active.get(job_id)
         if status != JobState.ACTIVE or entry is None or not entry.is_blocked:
-            reply(code, self._responder.status_body(job, status))
-        elif self._job_index.has_cancelled_dependency(job):
-            self._cancel_with_dependency(code, job, reply)
+            reply(http_status, self._responder.status_body(job_id, status))
+        elif self._job_index.has_cancelled_dependency(job_id):
+            self._cancel_with_dependency(http_status, job_id, reply)
         elif may_read_dependencies and (
-            unknown := self._job_index.unknown_dependencies(job)[:MAX_DEPENDENCY_READS]
-        ):  # they ended so long ago that they are not remembered, or are not in the index yet
+            unknown := self._job_index.unknown_dependencies(job_id)[:MAX_DEPENDENCY_READS]
+        ):  # these ended long ago and were evicted from the index, or it has not received them yet
             self._reader.read_all(
                 unknown,
                 lambda _outcomes: self.reply_status(
-                    code, job, self._job_index.status(job) or status, reply, may_read_dependencies=False
+                    http_status, job_id, self._job_index.status(job_id) or status, reply, may_read_dependencies=False
                 ),
             )
         elif (
             entry.missing_chunks
-            or self._job_index.unknown_dependencies(job)
+            or self._job_index.unknown_dependencies(job_id)
             or self._job_index.watcher.age() > self._max_view_age_s
         ):
             self._responder.reply_retry(reply, "not known at present")
         else:
-            reply(code, self._responder.status_body(job, status))
+            reply(http_status, self._responder.status_body(job_id, status))
 
-    def _cancel_with_dependency(self, code: HTTPStatus, job: str, reply: Reply) -> None:
-        def cancelled(status: int, body: bytes = b"{}", retry_after_s: int | None = None) -> None:
-            reply(code if status == HTTPStatus.OK else status, body, retry_after_s)
+    def _cancel_with_dependency(self, http_status: HTTPStatus, job_id: str, reply: Reply) -> None:
+        def on_cancelled(status: int, body: bytes = b"{}", retry_after_s: int | None = None) -> None:
+            reply(http_status if status == HTTPStatus.OK else status, body, retry_after_s)
 
-        self._cancellations.cancel(job, cancelled, may_refuse=False)
+        self._cancellations.cancel(job_id, on_cancelled, may_refuse=False)
--- a/tealhook/admission/validation.py
+++ b/tealhook/admission/validation.py
@@ -1,4 +1,4 @@
-"""Whether a submitted job can ever run."""
+"""Validation of submitted jobs against teams, machine types and controller versions."""
 
 from __future__ import annotations
 
@@ -12,16 +12,16 @@
 
 
 class JobValidator:
-    """Compares jobs with the teams and the machine types that there are."""
+    """Checks whether jobs can run with the existing teams and machine types."""
 
     def __init__(self, context: NodeContext, machine_types: Mapping[str, MachineType], versions: Versions) -> None:
-        """`machine_types` is empty until they are known; `versions` tells which ones the controllers run."""
+        """Initialize a validator; `machine_types` is empty until they are known."""
         self._machine_types = machine_types
         self._versions = versions
         self._teams = {team.name: team for team in context.settings.params.teams}
 
-    def is_decidable(self, spec: JobSpec | None) -> bool:
-        """Whether a job may be accepted now: the machine types are known, and all nodes understand its dependencies.
+    def may_accept(self, spec: JobSpec | None) -> bool:
+        """Check whether the machine types are known and all nodes support the job's dependencies.
 
         A controller of an earlier version would start a job without waiting for its dependencies.
         """
@@ -30,7 +30,7 @@
         return spec is None or not spec.depends_on or self._versions.all_upgraded
 
     def find_infeasibility_reason(self, spec: JobSpec) -> str | None:
-        """Why a job can never run; None when it can, or when that is not known yet."""
+        """Return the reason why a job can never run, or None if it can run or the machine types are not known yet."""
         team = self._teams.get(spec.team)
         if team is None:
             return "unknown team"
@@ -38,19 +38,21 @@
             return "waits_on: a job can't wait for itself"
         if _exceeds_limits(spec, team):
             return "the job needs more than the team's limit"
-        if self._machine_types and not any(_allows(spec, offered) for offered in self._machine_types.values()):
+        if self._machine_types and not any(
+            _can_run_on(spec, machine_type) for machine_type in self._machine_types.values()
+        ):
             return "a task fits no allowed machine type"
         return None
 
 
 def _exceeds_limits(spec: JobSpec, team: Team) -> bool:
-    """Whether the tasks that must run at the same time need more than the team may use."""
+    """Check whether tasks that must run at the same time need more than the limits of the team."""
     concurrent_tasks = 1 if spec.kind == JobKind.ARRAY else spec.task_count
     return 0 < team.cpus_max < concurrent_tasks * spec.vcpus or 0 < team.gpus_max < concurrent_tasks * spec.gpus
 
 
-def _allows(spec: JobSpec, machine_type: MachineType) -> bool:
-    """Whether a task may and can run on machines of a type."""
+def _can_run_on(spec: JobSpec, machine_type: MachineType) -> bool:
+    """Check whether tasks are allowed on machines of a type and fit on them."""
     if spec.machine_types is not None and machine_type.name not in spec.machine_types:
         return False
     if spec.zone is not None and spec.zone not in machine_type.zones:
--- a/tealhook/jobs/__init__.py
+++ b/tealhook/jobs/__init__.py
@@ -1,4 +1,4 @@
-"""Jobs: every node's index of the job records, and a job's tasks as its team's scheduler keeps them."""
+"""The index of all job records that every node keeps, and the tasks of a job as its team's scheduler tracks them."""
 
 from tealhook.jobs.index import JobIndex, JobObserver
 from tealhook.jobs.job_records import JobState, job_key
--- a/tealhook/jobs/attempt.py
+++ b/tealhook/jobs/attempt.py
@@ -1,4 +1,4 @@
-"""An attempt: one assignment of a task to a machine."""
+"""An attempt, which is one assignment of a task to a machine."""
 
 from __future__ import annotations
 
@@ -7,19 +7,19 @@
 from tealhook.placement import PlacementEstimate
 from tealhook.wire.workers import TaskStatus
 
-NO_CHUNK = -1  # the chunk of an attempt that no chunk of its job's assignment record is known to name
+NO_CHUNK = -1  # stands for the chunk of an attempt that, as far as known, no chunk of the assignment record names
 
 
 class AttemptState(enum.Enum):
-    """How far an attempt has come, as its team's scheduler knows it."""
+    """The progress of an attempt, as known to its team's scheduler."""
 
-    ASSIGNED = "assigned"  # its machine has not shown it yet
-    STARTING = "starting"  # on its machine, and not at work yet: it fetches its image
-    RUNNING = "running"  # at work, or writing the checkpoint with which it stops
+    ASSIGNED = "assigned"  # its machine has not reported it yet
+    STARTING = "starting"  # on its machine, but not executing yet: it fetches its image
+    RUNNING = "running"  # executing, or writing a checkpoint before it stops
 
     @classmethod
     def from_task_status(cls, status: str) -> AttemptState:
-        """Return the state of an attempt whose machine shows it with a status other than exited."""
+        """Return the state of an attempt whose machine reports a status other than exited."""
         return cls.RUNNING if status in _RUNNING_STATUSES else cls.STARTING
 
 
@@ -27,7 +27,7 @@
 
 
 class Attempt:
-    """A task's assignment to a machine, durable before it is launched."""
+    """A task's assignment to a machine, which is made durable before the task is launched."""
 
     __slots__ = (
         "index",
@@ -56,20 +56,21 @@
         partition_token: int,
         assigned_at: float,
     ) -> None:
-        """Attempt `number` of task `index`, on a machine in its present session."""
+        """Initialize attempt `number` of task `index`, on a machine in its current session."""
         self.index = index
         self.number = number
         self.machine = machine
         self.session = session
         self.zone = zone
-        self.partition_token = partition_token  # the partition's fencing token when capacity was reserved
+        self.partition_token = partition_token  # the fencing token of the partition when it reserved the capacity
         self.state = AttemptState.ASSIGNED
-        self.estimate: PlacementEstimate | None = None  # only for tasks that this scheduler has placed itself
+        self.estimate: PlacementEstimate | None = None  # None if the attempt was read from the assignment record
         self.reservation_id = 0
-        # Status updates under `partition_token` prove absence only above this number; None: the launch is unresolved.
+        # Only status updates under `partition_token` with a higher sequence number can prove that the attempt is absent
+        # from its machine. None as long as the outcome of the launch is unknown.
         self.acknowledged_sequence: int | None = None
-        # Until then a launch of ours may still reach the partition; from then on its reservation has expired.
+        # The reservation expires at this time; before it, a launch in flight may still reach the partition.
         self.launch_expires_at = 0.0
         self.assigned_at = assigned_at
         self.is_stopping = False
-        self.chunk = 0  # of the job's assignment record that names it
+        self.chunk = 0  # the chunk of the job's assignment record that names this attempt
--- a/tealhook/jobs/chunk_layout.py
+++ b/tealhook/jobs/chunk_layout.py
@@ -1,4 +1,4 @@
-"""Which chunk of a job's assignment record names which attempts, in one write within the state service's limits."""
+"""Distribution of attempts over the chunks of a job's assignment record, within the state store's write limits."""
 
 from __future__ import annotations
 
@@ -8,154 +8,164 @@
 from tealhook.jobs.attempt import Attempt
 from tealhook.wire.common import encode_json
 
-FIRST_SHARE = 0.75  # of the first chunk is for assignments, the rest for what is done
-MIN_TASK_BYTES = 6  # a task takes at least so much of a record
+FIRST_CHUNK_ASSIGNMENTS_SHARE = 0.75  # of the first chunk's bytes; the rest is reserved for the ranges of done tasks
+MIN_TASK_BYTES = 6  # a lower bound for the encoded size of a task's assignment
 
 
 class MovedAttempt(NamedTuple):
     """An attempt that another chunk names once a write is durable."""
 
     attempt: Attempt
-    chunk: int  # which names it from then on
+    chunk: int  # the chunk that names the attempt from then on
 
 
-def by_index(attempt: Attempt) -> int:
-    """Return the task of an attempt: the order in which chunks name attempts."""
+def by_task_index(attempt: Attempt) -> int:
+    """Return the task index of an attempt, the sort key of the attempts in a chunk."""
     return attempt.index
 
 
 class ChunkLayout:
-    """The chunks of one write: the first, those that changed, and those that take what is staged.
+    """The chunks of one write: the first chunk, the changed chunks, and the chunks that take staged attempts.
 
-    A chunk larger than `limit`, as an earlier version wrote it, is not written before the attempts that it has too
-    many of are named by others: in the same write, or by copies in writes before it. `moved_attempts` says which; a
-    write of copies alone lacks the first chunk.
+    Earlier versions may have written chunks larger than `max_chunk_bytes`. Such a chunk is not rewritten until the
+    attempts that no longer fit into it are named by other chunks, either in the same write or by copies in earlier
+    writes. `moved_attempts` lists these attempts. A write that only makes copies lacks the first chunk.
     """
 
     def __init__(
         self,
         encode: Callable[[int, list[Attempt], int], dict],
-        named: dict[int, list[Attempt]],
+        attempts_by_chunk: dict[int, list[Attempt]],
         dirty_chunks: set[int],
-        limit: int,
+        max_chunk_bytes: int,
         max_chunks: int,
     ) -> None:
-        """A write of at most `max_chunks` chunks of `limit` bytes, on top of the attempts that chunks have `named`.
+        """Initialize a write of at most `max_chunks` chunks with at most `max_chunk_bytes` bytes each.
 
-        `encode(chunk, attempts, limit)` gives the value of a chunk.
+        `encode(chunk, attempts, max_bytes)` returns the value of a chunk. `attempts_by_chunk` has the attempts that
+        the durable chunks name, and is updated with the attempts that move.
         """
         self._encode = encode
-        self._named = named
+        self._attempts_by_chunk = attempts_by_chunk
         self._dirty_chunks = dirty_chunks
-        self._limit = limit
+        self._max_chunk_bytes = max_chunk_bytes
         self._max_chunks = max_chunks
         self._oversized: set[int] = set()
-        self.written: dict[int, dict] = {}  # the chunks to be written, with their values
+        self.planned_writes: dict[int, dict] = {}  # the values to write, by chunk
         self.moved_attempts: list[MovedAttempt] = []
 
     def lay_out(self, staged: list[Attempt]) -> None:
-        """Fill `written` and `moved_attempts`; staged attempts that fit get the chunk that names them."""
+        """Fill `planned_writes` and `moved_attempts`, and set the chunk of each staged attempt that fits."""
         values = {
-            chunk: self._encode(chunk, self._named.get(chunk, []), self._limit)
+            chunk: self._encode(chunk, self._attempts_by_chunk.get(chunk, []), self._max_chunk_bytes)
             for chunk in sorted({0, *self._dirty_chunks})
         }
-        self._oversized = {chunk for chunk, value in values.items() if len(encode_json(value)) > self._limit}
+        self._oversized = {chunk for chunk, value in values.items() if len(encode_json(value)) > self._max_chunk_bytes}
         for chunk in sorted(self._oversized):
             if not self._shrink(chunk) and not chunk:
                 return
-        values |= self.written  # chunks that gave way, and those that took over
+        values |= self.planned_writes  # the chunks that were shrunk, and those that received their attempts
         self._add_staged(staged, values)
-        unwritten = sorted(self._dirty_chunks - self.written.keys() - self._oversized)
-        for chunk in unwritten[: max(0, self._max_chunks - len(self.written))]:
-            self.written[chunk] = values[chunk]
+        unwritten = sorted(self._dirty_chunks - self.planned_writes.keys() - self._oversized)
+        for chunk in unwritten[: max(0, self._max_chunks - len(self.planned_writes))]:
+            self.planned_writes[chunk] = values[chunk]
 
     def _add_staged(self, staged: list[Attempt], values: dict[int, dict]) -> None:
-        """Give what is staged to the first chunks with space for it; `values` are those of chunks without it."""
+        """Add staged attempts to the first chunks with space; `values` are the encoded chunks without them."""
         chunk = 0
-        while chunk == 0 or staged and len(self.written) < self._max_chunks:
-            here = self._named.get(chunk, [])
-            taken, value = self._take_fitting(chunk, here, staged, values.get(chunk))
-            if not (here or taken or chunk == 0):
-                break  # not one fits: names longer than any record
-            for attempt in taken:
+        while chunk == 0 or staged and len(self.planned_writes) < self._max_chunks:
+            current = self._attempts_by_chunk.get(chunk, [])
+            added, value = self._take_fitting(chunk, current, staged, values.get(chunk))
+            if not (current or added or chunk == 0):
+                break  # not even one attempt fits into an empty chunk: its names are too long for any record
+            for attempt in added:
                 attempt.chunk = chunk
-            if taken or chunk == 0:
-                self.written[chunk] = value
-            staged = staged[len(taken) :]
+            if added or chunk == 0:
+                self.planned_writes[chunk] = value
+            staged = staged[len(added) :]
             chunk += 1
 
     def _take_fitting(
-        self, chunk: int, here: list[Attempt], staged: list[Attempt], value_without: dict | None
+        self, chunk: int, current: list[Attempt], staged: list[Attempt], value_without: dict | None
     ) -> tuple[list[Attempt], dict]:
-        """Return the first of `staged` that fit a chunk besides `here`, and its value with them.
+        """Return the first attempts of `staged` that fit into a chunk beside `current`, and its value with them.
 
-        `value_without` is its value without them, where that has been encoded.
+        `value_without` is the value of the chunk without staged attempts, if it has been encoded already.
         """
-        max_bytes = self._limit * _assignment_share(chunk)
+        max_bytes = self._max_chunk_bytes * _assignments_share(chunk)
         if value_without is None:
-            value_without = self._encode(chunk, here, self._limit)
-        taken = staged[: max(0, int((max_bytes - len(encode_json(value_without))) / MIN_TASK_BYTES))]
-        while taken:
-            value = self._encode(chunk, sorted([*here, *taken], key=by_index), self._limit)
+            value_without = self._encode(chunk, current, self._max_chunk_bytes)
+        added = staged[: max(0, int((max_bytes - len(encode_json(value_without))) / MIN_TASK_BYTES))]
+        while added:
+            value = self._encode(chunk, sorted([*current, *added], key=by_task_index), self._max_chunk_bytes)
             if len(encode_json(value)) <= max_bytes:
-                return taken, value
-            del taken[-1 - len(taken) // 8 :]
+                return added, value
+            del added[-1 - len(added) // 8 :]
         return [], value_without
 
     def _shrink(self, chunk: int) -> bool:
-        """Lay out a chunk that is too large, with the chunks that take over what it can't name.
+        """Lay out an oversized chunk, and the chunks that receive the attempts for which it has no space.
 
-        False: only copies are written now, as many as there is space for, since the whole does not fit one write.
+        Return False if this does not fit into one write. Then only as many copies are written as fit, and the
+        oversized chunk stays as it is for now.
         """
-        here = self._named.get(chunk, [])
-        kept = self._count_fitting(chunk, [], here, int(self._limit * _assignment_share(chunk)))
-        copies = self._find_targets(here[kept:])
+        current = self._attempts_by_chunk.get(chunk, [])
+        kept_count = self._count_fitting(chunk, [], current, int(self._max_chunk_bytes * _assignments_share(chunk)))
+        copies = self._find_targets(current[kept_count:])
         if copies is None:
             return False
-        # The first chunk is written too.
-        max_written = self._max_chunks - 1 if chunk and 0 not in self.written else self._max_chunks
-        whole = len(self.written.keys() | copies.keys()) + (chunk not in self.written) <= max_written
+        # One chunk of the write is left for the first chunk, which every complete write includes.
+        max_written = self._max_chunks - 1 if chunk and 0 not in self.planned_writes else self._max_chunks
+        fits_one_write = (
+            len(self.planned_writes.keys() | copies.keys()) + (chunk not in self.planned_writes) <= max_written
+        )
         for target, attempts in copies.items():
-            if target not in self.written and len(self.written) >= max_written:
+            if target not in self.planned_writes and len(self.planned_writes) >= max_written:
                 break
-            self._named[target] = sorted([*self._named.get(target, []), *attempts], key=by_index)
-            self.written[target] = self._encode(target, self._named[target], self._limit)
+            self._attempts_by_chunk[target] = sorted(
+                [*self._attempts_by_chunk.get(target, []), *attempts], key=by_task_index
+            )
+            self.planned_writes[target] = self._encode(target, self._attempts_by_chunk[target], self._max_chunk_bytes)
             self.moved_attempts += [MovedAttempt(attempt, target) for attempt in attempts]
-        if whole:
-            self._named[chunk] = here[:kept]
-            self.written[chunk] = self._encode(chunk, self._named[chunk], self._limit)
+        if fits_one_write:
+            self._attempts_by_chunk[chunk] = current[:kept_count]
+            self.planned_writes[chunk] = self._encode(chunk, self._attempts_by_chunk[chunk], self._max_chunk_bytes)
             self._oversized.discard(chunk)
-        return whole
+        return fits_one_write
 
     def _find_targets(self, attempts: list[Attempt]) -> dict[int, list[Attempt]] | None:
-        """Return the further chunks with space for attempts, and what each can take; None: not one fits any record."""
+        """Return further chunks with space for `attempts`, with the attempts that each can take.
+
+        Return None if an attempt does not even fit into an empty chunk.
+        """
         copies: dict[int, list[Attempt]] = {}
         target = 1
         while attempts:
             if target not in self._oversized:
-                there = self._named.get(target, [])
-                count = self._count_fitting(target, there, attempts, self._limit)
+                current = self._attempts_by_chunk.get(target, [])
+                count = self._count_fitting(target, current, attempts, self._max_chunk_bytes)
                 if count:
                     copies[target] = attempts[:count]
                     attempts = attempts[count:]
-                elif not there:
-                    return None  # names longer than any record
+                elif not current:
+                    return None  # its names are too long for any record
             target += 1
         return copies
 
-    def _count_fitting(self, chunk: int, there: list[Attempt], more: list[Attempt], max_bytes: int) -> int:
-        """How many of the first of `more` a chunk can name besides `there`."""
-        low, high = 0, min(len(more), max_bytes // MIN_TASK_BYTES)
+    def _count_fitting(self, chunk: int, current: list[Attempt], added: list[Attempt], max_bytes: int) -> int:
+        """Return how many attempts from the front of `added` a chunk can name beside `current`."""
+        low, high = 0, min(len(added), max_bytes // MIN_TASK_BYTES)
         while low < high:
             middle = (low + high + 1) // 2
-            both = sorted([*there, *more[:middle]], key=by_index)
-            # What is done gives way to what may be on a machine.
-            if len(encode_json(self._encode(chunk, both, max_bytes))) <= max_bytes:
+            combined = sorted([*current, *added[:middle]], key=by_task_index)
+            # Encoding drops ranges of done tasks to make space for assignments, which must not be lost.
+            if len(encode_json(self._encode(chunk, combined, max_bytes))) <= max_bytes:
                 low = middle
             else:
                 high = middle - 1
         return low
 
 
-def _assignment_share(chunk: int) -> float:
-    return 1.0 if chunk else FIRST_SHARE
+def _assignments_share(chunk: int) -> float:
+    """Return the share of a chunk's bytes that assignments may take."""
+    return 1.0 if chunk else FIRST_CHUNK_ASSIGNMENTS_SHARE
--- a/tealhook/jobs/index.py
+++ b/tealhook/jobs/index.py
@@ -1,4 +1,4 @@
-"""Every node's view of the job records, kept up to date by a watch on `job/`."""
+"""Index of the job records, which every node keeps up to date by a watch on `job/`."""
 
 from __future__ import annotations
 
@@ -22,33 +22,33 @@
 from tealhook.wire import state as state_wire
 from tealhook.wire.users import PRIORITY_RANK
 
-MIN_ENDED_JOBS = 20_000  # ended jobs kept in memory to save reads; the state service keeps them all
-ENDED_JOB_BYTES = 400  # about what one takes
-ENDED_JOBS_MEMORY_SHARE = 1 / 8  # of this process's memory
-WATCHES_PER_LEASE = 10  # the state service may hold a watch open for a worker's lease divided by this
+MIN_ENDED_JOBS = 20_000  # the index keeps at least this many ended jobs to save reads of their records
+ENDED_JOB_BYTES = 400  # approximate memory that an ended job takes in the index
+ENDED_JOBS_MEMORY_SHARE = 1 / 8  # of the memory of this process
+WATCHES_PER_LEASE = 10  # number of watch requests during a worker's lease if the state store sends no changes
 
 
 class JobObserver(Protocol):
-    """What reacts to changes of the job index."""
+    """The receiver of changes of the job index."""
 
     def on_job_changed(self, job_id: str) -> None:
-        """A job was accepted, has ended, was released, or has another priority, deadline or dependency."""
+        """Handle a job that was accepted or released, has ended, or has a new priority, deadline or dependency."""
 
 
 class JobIndex:
-    """Active jobs with their specs, and as many ended ones as memory allows."""
+    """All active jobs with their specs, and as many ended jobs as memory allows."""
 
     def __init__(self, context: NodeContext, store: StateClient) -> None:
-        """An empty index; `start` fills it and keeps it up to date."""
+        """Initialize an empty index; `start` fills it and keeps it up to date."""
         self._effects = context.effects
         limits = context.settings.params.limits
         self._max_ended = max(MIN_ENDED_JOBS, int(limits.memory_bytes(ENDED_JOBS_MEMORY_SHARE) / ENDED_JOB_BYTES))
-        # No job has been forgotten, and no record was malformed: a job that the index lacks does not exist.
+        # No ended job has been evicted and no record was malformed, so a job that is not in the index does not exist.
         self.is_complete = True
         self.active: dict[str, JobEntry] = {}
         self.ended: OrderedDict[str, EndedJob] = OrderedDict()
-        self._checkpointing_jobs: Counter[int] = Counter()  # active jobs that save checkpoints, by their own priority
-        self._early_chunks: dict[str, dict[int, list[str]]] = {}  # dependency chunks read before their job's record
+        self._checkpointing_jobs: Counter[int] = Counter()  # priority rank -> active jobs with checkpoints
+        self._early_chunks: dict[str, dict[int, list[str]]] = {}  # chunks that were read before their job's record
         self._dependencies = DependencyGraph(self.active, self.ended, self._notify)
         self._observer: JobObserver | None = None
         self.watcher = Watcher(
@@ -61,122 +61,128 @@
         )
 
     def start(self, observer: JobObserver) -> None:
-        """Read all job records and follow them from there; `observer` is called for each job that changes."""
+        """Read all job records and watch them from then on; `observer` is called for each job that changes."""
         self._observer = observer
         self.watcher.start()
 
     @property
     def is_synced(self) -> bool:
-        """Whether all records have been read once: before, a job that is lacking may well be active."""
+        """Whether all records have been read once; until then, an active job may be missing from the index."""
         return self.watcher.synced
 
-    # -- the status of jobs
+    # -- job status
 
-    def status(self, job: str) -> str | None:
-        """The `JobState` as known here, or None; final ones stay, an active job may have ended since."""
-        if job in self.active:
+    def status(self, job_id: str) -> str | None:
+        """Return the last known `JobState` of a job, or None.
+
+        A final state does not change any more, but a job that is active here may have ended since.
+        """
+        if job_id in self.active:
             return JobState.ACTIVE
-        ended = self.ended.get(job)
+        ended = self.ended.get(job_id)
         return ended.status if ended else None
 
-    def team_of(self, job: str) -> str | None:
-        """The team of a job that is active or ended lately; None: not known here."""
-        entry = self.active.get(job)
+    def team_of(self, job_id: str) -> str | None:
+        """Return the team of a job that is active or recently ended, or None if the job is not in the index."""
+        entry = self.active.get(job_id)
         if entry is not None:
             return entry.team
-        ended = self.ended.get(job)
+        ended = self.ended.get(job_id)
         return ended.team if ended else None
 
-    def seconds_since_cancelled(self, job: str) -> float:
-        """Seconds since an ended job was cancelled, whoever cancelled it; 0 where that is not on record."""
-        ended_at = self.ended[job].ended_at if job in self.ended else 0.0
+    def seconds_since_cancelled(self, job_id: str) -> float:
+        """Return the seconds since a job was cancelled, or 0 if its record does not hold the time."""
+        ended_at = self.ended[job_id].ended_at if job_id in self.ended else 0.0
         return max(0.0, self._effects.wall() - ended_at) if ended_at > 0 else 0.0
 
     @property
     def lowest_checkpointing_priority(self) -> float:
-        """The lowest priority among the active jobs whose tasks save checkpoints; infinite without any."""
+        """The lowest priority among the active jobs whose tasks save checkpoints; infinite if there are none."""
         return min((priority for priority, count in self._checkpointing_jobs.items() if count), default=math.inf)
 
-    # -- jobs with dependencies
+    # -- dependencies
 
-    def is_blocked(self, job: str) -> bool:
-        """Whether a job waits for its dependencies, as far as known here."""
-        entry = self.active.get(job)
+    def is_blocked(self, job_id: str) -> bool:
+        """Check whether a job is known to wait for its dependencies."""
+        entry = self.active.get(job_id)
         return entry is not None and entry.is_blocked
 
-    def expected_release_at(self, job: str) -> float:
-        """When a blocked job should be released, by the time of day and its dependencies' estimated run times."""
-        return self._dependencies.expected_release_at(job)
+    def expected_release_at(self, job_id: str) -> float:
+        """Return the wall-clock time at which a blocked job should be released, by its dependencies' estimates."""
+        return self._dependencies.expected_release_at(job_id)
+
+    def unknown_dependencies(self, job_id: str) -> list[str]:
+        """Return the direct and transitive dependencies of a job that are not in the index.
 
-    def unknown_dependencies(self, job: str) -> list[str]:
-        """Dependencies of a job, direct or not, that are not known here: they may have ended, and have to be read."""
-        return self._dependencies.unknown_dependencies(job)
+        They may have ended, which only their records can tell.
+        """
+        return self._dependencies.unknown_dependencies(job_id)
 
-    def has_cancelled_dependency(self, job: str) -> bool:
-        """Whether some dependency of a job, direct or not, is known to be cancelled."""
-        return self._dependencies.has_cancelled_dependency(job)
+    def has_cancelled_dependency(self, job_id: str) -> bool:
+        """Check whether a direct or transitive dependency of a job is known to be cancelled."""
+        return self._dependencies.has_cancelled_dependency(job_id)
 
-    # -- changes
+    # -- updates
 
-    def apply_record(self, job: str, record: JobRecord, mod_revision: int) -> None:
-        """Take over a record that this node has read or written."""
-        if job in self.ended:
+    def apply_record(self, job_id: str, record: JobRecord, mod_revision: int) -> None:
+        """Update the index with a record that this node has read or written."""
+        if job_id in self.ended:
             return
         if record.status != JobState.ACTIVE:
-            self._end(job, record)
+            self._apply_end(job_id, record)
             return
-        previous = self.active.get(job)
+        previous = self.active.get(job_id)
         if record.spec is not None and (previous is None or previous.mod_revision < mod_revision):
             if previous is not None:
                 self._count_checkpointing(previous, -1)
             entry = JobEntry(record.spec, record.team, mod_revision, record.status_since, record.extra_chunks)
-            self.active[job] = entry
+            self.active[job_id] = entry
             self._count_checkpointing(entry, 1)
-            self._dependencies.register(job, entry, entry.spec.depends_on)
-            for chunk, names in self._early_chunks.pop(job, {}).items():
-                self._add_chunk(job, entry, chunk, names)
-            self._notify(job)
-
-    def _end(self, job: str, record: JobRecord) -> None:
-        entry = self.active.pop(job, None)
-        self.ended[job] = EndedJob(record.status, record.team, record.status_since)
+            self._dependencies.add_edges(job_id, entry, entry.spec.depends_on)
+            for chunk, dependencies in self._early_chunks.pop(job_id, {}).items():
+                self._add_chunk(job_id, entry, chunk, dependencies)
+            self._notify(job_id)
+
+    def _apply_end(self, job_id: str, record: JobRecord) -> None:
+        entry = self.active.pop(job_id, None)
+        self.ended[job_id] = EndedJob(record.status, record.team, record.status_since)
         while len(self.ended) > self._max_ended:
             self.ended.popitem(last=False)
             self.is_complete = False
-        self._early_chunks.pop(job, None)
+        self._early_chunks.pop(job_id, None)
         if entry is not None:
             self._count_checkpointing(entry, -1)
-            self._dependencies.unregister(job, entry)
-        self._notify(job)
+            self._dependencies.remove_edges(job_id, entry)
+        self._notify(job_id)
         if record.status == JobState.DONE:
-            self._dependencies.release_dependents(job, record.status_since)
+            self._dependencies.release_dependents(job_id, record.status_since)
         else:
-            for dependent in self._dependencies.dependents(job):
+            for dependent in self._dependencies.dependents(job_id):
                 self._notify(dependent)
         if entry is not None:
             self._dependencies.propagate_priorities(entry.spec.depends_on)
 
-    def _add_chunk(self, job: str, entry: JobEntry, chunk: int, names: list[str]) -> None:
-        """Add the dependencies of a chunk; one that was added before, or that the record does not name, is ignored."""
+    def _add_chunk(self, job_id: str, entry: JobEntry, chunk: int, dependencies: list[str]) -> None:
+        """Add the dependencies of a chunk, unless it was added before or the record does not count it."""
         if chunk not in entry.missing_chunks:
             return
-        self._dependencies.register(job, entry, entry.add_chunk(chunk, names))
-        self._notify(job)
+        self._dependencies.add_edges(job_id, entry, entry.add_chunk(chunk, dependencies))
+        self._notify(job_id)
 
     def _count_checkpointing(self, entry: JobEntry, change: int) -> None:
         if entry.spec.checkpoint_interval_s > 0:
             self._checkpointing_jobs[PRIORITY_RANK[entry.spec.priority]] += change
 
-    def _notify(self, job: str) -> None:
+    def _notify(self, job_id: str) -> None:
         if self._observer is not None:
-            self._observer.on_job_changed(job)
+            self._observer.on_job_changed(job_id)
 
-    # -- what the watch delivers
+    # -- watch callbacks
 
     def _on_rows(self, rows: list[state_wire.KeyValue]) -> None:
         for row in rows:
             self._apply_value(row.key, row.value, row.mod_revision)
-        self._early_chunks.clear()  # of jobs that ended so long ago that they are not remembered
+        self._early_chunks.clear()  # what is left belongs to ended jobs that have been evicted
 
     def _on_events(self, events: list[state_wire.WatchEvent]) -> None:
         for event in events:
@@ -184,21 +190,21 @@
                 self._apply_value(event.put_key, event.value, event.mod_revision)
 
     def _apply_value(self, key: str, value: Any, mod_revision: int) -> None:
-        job, chunk = parse_job_key(key)
+        job_id, chunk = parse_job_key(key)
         if chunk:
-            self._apply_chunk(job, chunk, value)
+            self._apply_chunk(job_id, chunk, value)
             return
         record = parse_record(value)
         if record is not None:
-            self.apply_record(job, record, mod_revision)
+            self.apply_record(job_id, record, mod_revision)
         else:
             self.is_complete = False
 
-    def _apply_chunk(self, job: str, chunk: int, value: Any) -> None:
-        names = parse_dependency_chunk(job, value)
-        if names is None:
+    def _apply_chunk(self, job_id: str, chunk: int, value: Any) -> None:
+        dependencies = parse_dependency_chunk(job_id, value)
+        if dependencies is None:
             return
-        if job in self.active:
-            self._add_chunk(job, self.active[job], chunk, names)
-        elif job not in self.ended:
-            self._early_chunks.setdefault(job, {})[chunk] = names
+        if job_id in self.active:
+            self._add_chunk(job_id, self.active[job_id], chunk, dependencies)
+        elif job_id not in self.ended:
+            self._early_chunks.setdefault(job_id, {})[chunk] = dependencies
--- a/tealhook/jobs/job.py
+++ b/tealhook/jobs/job.py
@@ -1,4 +1,4 @@
-"""A job as its team's scheduler keeps it: its tasks, and how its assignment record stands in the state service."""
+"""A job as its team's scheduler tracks it: its tasks, and the state of its assignment record in the state store."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
     encode_further_chunk,
 )
 from tealhook.jobs.attempt import NO_CHUNK, Attempt
-from tealhook.jobs.chunk_layout import ChunkLayout, MovedAttempt, by_index
+from tealhook.jobs.chunk_layout import ChunkLayout, MovedAttempt, by_task_index
 from tealhook.jobs.job_entry import JobEntry
 from tealhook.jobs.tasks import JobTasks
 from tealhook.loop.effects import LONG_AGO_S
@@ -21,15 +21,15 @@
 
 
 class WriteState(enum.Enum):
-    """How a job's record stands. Nothing is written while an earlier write may yet be executed."""
+    """The state of the writes of a job's record; no write starts while an earlier one may still be executed."""
 
-    SETTLED = "settled"  # what was written last is known to be there, or not to be
-    PENDING = "pending"  # a write is on its way
-    UNCERTAIN = "uncertain"  # nobody knows whether one was executed: the record is read again
+    SETTLED = "settled"  # it is known whether the last write was executed
+    PENDING = "pending"  # a write is in flight
+    UNCERTAIN = "uncertain"  # the outcome of a write is unknown, so the record has to be read again
 
 
 class FinishedTask(NamedTuple):
-    """A task whose worker is to forget it once its outcome is on record."""
+    """A finished task, which its worker may forget once the outcome is durable."""
 
     zone: str
     machine: str
@@ -38,71 +38,73 @@
 
 
 class Job(JobTasks):
-    """A job with its assignment record. Every change that must be durable is marked; the scheduler commits it."""
-
-    def __init__(self, job: str, team: str, entry: JobEntry | None, now: float) -> None:
-        """A job of which no record has been read yet; see `JobTasks`."""
-        super().__init__(job, team, entry, now)
-        self.chunk_revisions: dict[int, int] = {}  # of the chunks of its record, as far as they are there
-        self.chunk_sizes: dict[int, int] = {}  # of chunks as they were read
-        self.dirty_chunks: set[int] = set()  # chunks that name attempts which are off, or named elsewhere too
-        self.moved_attempts: list[MovedAttempt] = []  # with the write laid out last
-        self.uncertain_chunks: set[int] = set()  # chunks that a copy of unknown outcome may yet come to
-        self.rejections = 0  # how often in a row its write was too much for the state service
+    """A job with its assignment record; changes that must become durable are marked, and the scheduler commits them."""
+
+    def __init__(self, job_id: str, team: str, entry: JobEntry | None, now: float) -> None:
+        """Initialize a job whose assignment record has not been read yet; see `JobTasks`."""
+        super().__init__(job_id, team, entry, now)
+        self.chunk_revisions: dict[int, int] = {}  # the revision of each chunk that exists in the state store
+        self.chunk_sizes: dict[int, int] = {}  # the size of each chunk when it was read, in bytes
+        self.dirty_chunks: set[int] = (
+            set()
+        )  # chunks that name attempts which have ended, or which another chunk names too
+        self.moved_attempts: list[MovedAttempt] = []  # attempts that move with the last planned write
+        self.uncertain_chunks: set[int] = set()  # chunks that a write of unknown outcome may still create
+        self.rejections = 0  # writes that recently exceeded the limits of the state store
         self.last_rejected_at = LONG_AGO_S
-        self.write_not_before = LONG_AGO_S  # it is not written before
-        self.has_deferrable_change = False  # something changed that need not be durable at once
+        self.write_not_before = LONG_AGO_S  # the earliest time of the next write
+        self.has_deferrable_change = False  # a change may wait before it is made durable
         self.deferrable_since = 0.0
         self.write_state = WriteState.SETTLED
-        self.is_loaded = False  # the assignment record has been read
-        self.tasks_to_forget: list[FinishedTask] = []  # once durable
+        self.is_loaded = False  # whether the assignment record has been read
+        self.tasks_to_forget: list[FinishedTask] = []  # tasks whose workers forget them after the next commit
 
     # -- writing the assignment record
 
     def attempts_by_chunk(self) -> dict[int, list[Attempt]]:
-        """Attempts by the chunk that names them, in the order of tasks."""
+        """Return the attempts in each chunk, ordered by task index."""
         found: dict[int, list[Attempt]] = {}
-        for attempt in sorted([*self.attempts.values(), *self.staged.values()], key=by_index):
+        for attempt in sorted([*self.attempts.values(), *self.staged.values()], key=by_task_index):
             found.setdefault(attempt.chunk, []).append(attempt)
         return found
 
-    def lay_out_chunks(self, limit: int, max_chunks: int) -> dict[int, dict]:
-        """Return values of the chunks to be written: the first, and those that changed, `max_chunks` of them at once.
+    def lay_out_chunks(self, max_chunk_bytes: int, max_chunks: int) -> dict[int, dict]:
+        """Return the values of up to `max_chunks` chunks to write: the first one, and those that changed.
 
-        What is staged goes to the first chunk that has space for it, so that a job is never narrower than its
-        capacity: one record of 8 KiB names some 250 machines. What finds no space in this write keeps `NO_CHUNK`, and
-        is not to stay staged. `moved_attempts` says which attempts other chunks name after the write; see
-        `ChunkLayout`.
+        Each staged attempt goes to the first chunk with space for it, so that the size of a record does not limit how
+        many tasks run at once: one record of 8 KiB names only about 250 machines. Attempts for which this write has
+        no space keep `NO_CHUNK`, and must be unstaged. `moved_attempts` is set to the attempts that other chunks name
+        after the write; see `ChunkLayout`.
         """
-        staged = sorted(self.staged.values(), key=by_index)
+        staged = sorted(self.staged.values(), key=by_task_index)
         for attempt in staged:
             attempt.chunk = NO_CHUNK
-        named = self.attempts_by_chunk()
-        named.pop(NO_CHUNK, None)
-        layout = ChunkLayout(self.encode, named, self.dirty_chunks, limit, max_chunks)
+        durable_by_chunk = self.attempts_by_chunk()
+        durable_by_chunk.pop(NO_CHUNK, None)
+        layout = ChunkLayout(self.encode, durable_by_chunk, self.dirty_chunks, max_chunk_bytes, max_chunks)
         layout.lay_out(staged)
         self.moved_attempts = layout.moved_attempts
-        return layout.written
+        return layout.planned_writes
 
-    def encode(self, chunk: int, attempts: list[Attempt], limit: int) -> dict:
-        """Return the value of a chunk that names attempts; `limit` bounds the ranges of done tasks in the first."""
+    def encode(self, chunk: int, attempts: list[Attempt], max_bytes: int) -> dict:
+        """Return the value of a chunk; in the first, ranges of done tasks are dropped to keep to `max_bytes`."""
         if chunk:
             return encode_further_chunk(attempts)
-        return encode_first_chunk(attempts, self.resources, self.last_attempt_number, self.done, limit)
+        return encode_first_chunk(attempts, self.resources, self.last_attempt_number, self.done, max_bytes)
 
     def move_attempts(self, moved: Iterable[MovedAttempt], written: set[int]) -> None:
-        """Attempts are durably named by other chunks now; those that named them may be written without them."""
+        """Record that attempts are durably named by other chunks, so that their former chunks may drop them."""
         for attempt, chunk in moved:
             if attempt.chunk not in written:
                 self.dirty_chunks.add(attempt.chunk)
             attempt.chunk = chunk
             if self.attempts.get(attempt.index) is not attempt:
-                self.dirty_chunks.add(chunk)  # it ended meanwhile
+                self.dirty_chunks.add(chunk)  # the attempt has ended in the meantime
 
     # -- reading the assignment record
 
     def forget_chunks_except(self, kept: set[int]) -> None:
-        """Before chunks are read again: only those in `kept` are known to name what they named."""
+        """Forget which attempts the chunks outside `kept` name, before these chunks are read again."""
         self.chunk_sizes = {chunk: size for chunk, size in self.chunk_sizes.items() if chunk in kept}
         for attempt in self.attempts.values():
             if attempt.chunk not in kept:
@@ -116,10 +118,10 @@
         now: float,
         proved_absent: Collection[tuple[int, int]] | None = None,
     ) -> None:
-        """Take over a chunk of the assignment record; raises `CorruptRecordError` when it is not one.
+        """Load a chunk of the assignment record, or raise `CorruptRecordError` if it is malformed.
 
-        `proved_absent`: attempts (task, number) that this scheduler has proved off their machines since the record was
-        written.
+        `proved_absent` has the attempts (task, number) that this scheduler has proved absent from their machines since
+        the record was written.
         """
         decoded = decode_chunk(assignment_key(self.team, self.id, chunk), chunk, value, now)
         if self.spec is None and len(decoded.resources) == 3:
@@ -137,28 +139,31 @@
 
     def _load_attempt(self, chunk: int, attempt: Attempt, proved_absent: Collection[tuple[int, int]] | None) -> None:
         attempt.chunk = chunk
-        present = self.attempts.get(attempt.index)
-        if present is not None and present.number >= attempt.number:
-            self._resolve_duplicate(present, attempt)
+        current = self.attempts.get(attempt.index)
+        if current is not None and current.number >= attempt.number:
+            self._resolve_duplicate(current, attempt)
             return
         if proved_absent and (attempt.index, attempt.number) in proved_absent:
             self.dirty_chunks.add(chunk)
             return
-        if present is not None and present.chunk >= 0:
-            self.dirty_chunks.add(present.chunk)
-        # Even of a done task an assignment on record counts until it is proved off.
+        if current is not None and current.chunk >= 0:
+            self.dirty_chunks.add(current.chunk)
+        # A recorded assignment counts until it is proved absent, even if its task is done.
         self.attempts[attempt.index] = attempt
 
-    def _resolve_duplicate(self, present: Attempt, attempt: Attempt) -> None:
-        """A chunk names an attempt, or one before it, that another chunk names too: one of the two is rewritten."""
+    def _resolve_duplicate(self, current: Attempt, attempt: Attempt) -> None:
+        """Resolve that a chunk names an attempt which is outdated, or which another chunk may name too.
+
+        If two chunks name attempts of the task, one of them is marked for rewriting.
+        """
         chunk = attempt.chunk
-        if present.number > attempt.number:
+        if current.number > attempt.number:
             self.dirty_chunks.add(chunk)
-        elif present.chunk < 0:
-            present.chunk = chunk
-        elif present.chunk != chunk:
-            # Copied, and the chunk that named it first not yet rewritten: it stays in the smaller chunk.
-            present_size = self.chunk_sizes.get(present.chunk, 0)
-            self.dirty_chunks.add(chunk if present_size <= self.chunk_sizes[chunk] else present.chunk)
-            if present_size > self.chunk_sizes[chunk]:
-                present.chunk = chunk
+        elif current.chunk < 0:
+            current.chunk = chunk
+        elif current.chunk != chunk:
+            # The attempt was copied, and its original chunk has not been rewritten yet. The smaller chunk keeps it.
+            current_size = self.chunk_sizes.get(current.chunk, 0)
+            self.dirty_chunks.add(chunk if current_size <= self.chunk_sizes[chunk] else current.chunk)
+            if current_size > self.chunk_sizes[chunk]:
+                current.chunk = chunk
--- a/tealhook/jobs/job_entry.py
+++ b/tealhook/jobs/job_entry.py
@@ -1,4 +1,4 @@
-"""What the job index holds of one job: an entry while it is active, and its end afterwards."""
+"""The job index's data about one job: an entry while it is active, and its final state afterwards."""
 
 from __future__ import annotations
 
@@ -9,15 +9,15 @@
 
 
 class EndedJob(NamedTuple):
-    """How a job ended; kept small, since many thousands of them are remembered."""
+    """The final state of a job; kept small, since the index holds many thousands of them."""
 
     status: str  # a final `JobState`
     team: str
-    ended_at: float  # by the time of day; 0 where that is not on record
+    ended_at: float  # wall-clock time; 0 if the record does not hold it
 
 
 class JobEntry:
-    """An active job as its record stands, with what its dependency graph implies for it."""
+    """An active job by its record, with the values that the dependency graph derives for it."""
 
     __slots__ = (
         "spec",
@@ -32,31 +32,38 @@
     )
 
     def __init__(self, spec: JobSpec, team: str, mod_revision: int, accepted_at: float, extra_chunks: int = 0) -> None:
-        """A job by its record of `mod_revision`; `extra_chunks` further records hold the rest of its dependencies."""
+        """Initialize an entry from the record of revision `mod_revision`.
+
+        `extra_chunks` further records hold the rest of the job's dependencies.
+        """
         self.spec = spec
-        self.accepted_at = accepted_at  # by the time of day
+        self.accepted_at = accepted_at  # wall-clock time
         self.team = team
         self.mod_revision = mod_revision
-        self.missing_chunks = set(range(1, extra_chunks + 1))  # dependency chunks that have not been read yet
-        self.pending_dependencies = dict.fromkeys(spec.depends_on)  # those that are not known to be done, in order
-        self.released_at = accepted_at  # when the last of its dependencies was done
-        self.priority = PRIORITY_RANK[spec.priority]  # the highest of its own and of all jobs that depend on it
-        self.deadline_at = self.own_deadline_at  # when it should be done so that its dependents can be in time
+        self.missing_chunks = set(
+            range(1, extra_chunks + 1)
+        )  # numbers of the dependency chunks that have not been read yet
+        self.pending_dependencies = dict.fromkeys(spec.depends_on)  # dependencies not known to be done, in order
+        self.released_at = accepted_at  # time at which the last of its dependencies was done
+        self.priority = PRIORITY_RANK[spec.priority]  # the highest rank among the job itself and all its dependents
+        self.deadline_at = (
+            self.own_deadline_at
+        )  # the latest end that lets the job and its dependents meet their deadlines
 
     @property
     def own_deadline_at(self) -> float:
-        """When the job should be done by its own deadline, by the time of day; infinite without one."""
+        """The wall-clock time of the job's own deadline; infinite if it has none."""
         return self.accepted_at + self.spec.deadline_s if self.spec.deadline_s is not None else math.inf
 
     @property
     def is_blocked(self) -> bool:
-        """Whether the job waits for its dependencies, as far as known: none of its tasks may start."""
+        """Whether the job is known to wait for its dependencies, so that none of its tasks may start."""
         return bool(self.pending_dependencies or self.missing_chunks)
 
-    def add_chunk(self, chunk: int, names: list[str]) -> list[str]:
-        """Add the dependencies of a chunk that was missing; return those that the entry did not have yet."""
+    def add_chunk(self, chunk: int, dependencies: list[str]) -> list[str]:
+        """Add the dependencies of a missing chunk, and return those that are new to the entry."""
         self.missing_chunks.discard(chunk)
-        added = [name for name in names if name not in self.pending_dependencies]
+        added = [dependency for dependency in dependencies if dependency not in self.pending_dependencies]
         self.spec.depends_on = [*self.spec.depends_on, *added]
         self.pending_dependencies |= dict.fromkeys(added)
         return added
--- a/tealhook/jobs/job_records.py
+++ b/tealhook/jobs/job_records.py
@@ -1,6 +1,6 @@
-"""The records `job/<id>` in the state service: their keys, their types, and how they are parsed.
+"""Keys, types and parsing of the job records, `job/<id>` in the state store.
 
-The short field names are what is stored; every version of the service reads and writes the same bytes.
+The short field names are the stored format: every version of the service reads and writes the same bytes.
 """
 
 from __future__ import annotations
@@ -18,19 +18,19 @@
 JOBS_PREFIX = "job/"
 
 
-def job_key(job: str) -> str:
+def job_key(job_id: str) -> str:
     """Return the key of a job's record."""
-    return JOBS_PREFIX + job
+    return JOBS_PREFIX + job_id
 
 
 def parse_job_key(key: str) -> tuple[str, int]:
-    """Return the job that a key belongs to, and the number of its dependency chunk; 0 is the job record itself."""
-    job, _, chunk = key[len(JOBS_PREFIX) :].partition("/")
-    return job, int(chunk) if chunk.isdigit() else 0
+    """Return the job id and the dependency chunk number in a key; chunk 0 is the job record itself."""
+    job_id, _, chunk = key[len(JOBS_PREFIX) :].partition("/")
+    return job_id, int(chunk) if chunk.isdigit() else 0
 
 
 class JobState(enum.StrEnum):
-    """The status on a job's record; all but the first are final."""
+    """The status in a job's record; every status except `ACTIVE` is final."""
 
     ACTIVE = "active"
     DONE = "done"
@@ -38,12 +38,12 @@
 
 
 class JobRecord(msgspec.Struct, omit_defaults=True):
-    """The value of `job/<id>`: team, status, when it was accepted (or ended), and the submission while active.
+    """The value of `job/<id>`.
 
-    `status` is a `JobState`. It is read as any string, so that a final status which a later version may add still
-    counts as final here, instead of making the record unreadable.
-
-    `extra_chunks`: so many records `job/<id>/<n>`, counted from 1, hold the rest of the job's dependencies.
+    `status` is a `JobState`, but any string is accepted: a final status that a later version may add still counts as
+    final here, instead of making the record unreadable. `status_since` is the wall-clock time at which the job was
+    accepted or, once it has ended, at which it ended. `spec` is the submission, present while the job is active.
+    `extra_chunks` is the number of records `job/<id>/<n>`, from 1 on, that hold the rest of the job's dependencies.
     """
 
     team: str = msgspec.field(name="t")
@@ -54,24 +54,24 @@
 
 
 class DependencyChunk(msgspec.Struct):
-    """The value of `job/<id>/<n>`: dependencies that the job record itself has no room for."""
+    """The value of `job/<id>/<n>`: dependencies that do not fit into the job record itself."""
 
     depends_on: list[str] = msgspec.field(name="w")
 
 
 def parse_record(value: Any) -> JobRecord | None:
-    """Return the job record that a stored value holds; a malformed one is logged, and None is returned."""
+    """Return the job record in a stored value; log a malformed one and return None."""
     try:
         return msgspec.convert(value, JobRecord)
     except msgspec.ValidationError as exc:
-        log.error("malformed job record: %s", exc)
+        log.error("ignoring malformed job record: %s", exc)
         return None
 
 
-def parse_dependency_chunk(job: str, value: Any) -> list[str] | None:
-    """Return the dependencies that a stored chunk of a job holds; a malformed one is logged, and None is returned."""
+def parse_dependency_chunk(job_id: str, value: Any) -> list[str] | None:
+    """Return the dependencies in a stored chunk of a job; log a malformed one and return None."""
     try:
         return msgspec.convert(value, DependencyChunk).depends_on
     except msgspec.ValidationError as exc:
-        log.error("malformed dependency chunk of %s: %s", job, exc)
+        log.error("job %s: ignoring malformed dependency chunk: %s", job_id, exc)
         return None
--- a/tealhook/jobs/record_store.py
+++ b/tealhook/jobs/record_store.py
@@ -1,8 +1,8 @@
-"""Calls on the records of jobs: read one, and end some on the revisions that were read.
+"""Reads of job records, and conditional writes that end jobs.
 
-A job ends once: by its user, with a job that it depends on, or with its last task, and these may meet on three nodes.
-So an end is written only on the revision of the record that its writer has read, and where that fails, or nobody
-knows whether it was written, the record is read again instead of guessed.
+A job ends exactly once: when its user cancels it, when a job it depends on is cancelled, or with its last task. Three
+nodes may attempt these at the same time. So an end is written on the condition that the record still has the revision
+that the writer has read. If the condition fails or the outcome is unknown, the record is read again.
 """
 
 from __future__ import annotations
@@ -19,40 +19,40 @@
 from tealhook.state_store.client import CALL_TIMEOUT_S
 from tealhook.wire import state as state_wire
 
-MAX_QUEUED_S = 1.0  # a call that has waited so long for request tokens is given up
+QUEUE_TIMEOUT_S = 1.0  # a call gives up after waiting this long for the rate limit
 
-# Called with the outcome of a read, the record (None also where it is malformed), and its revision.
+# Called with the outcome of a read, the record (None if it is absent or malformed), and its revision.
 OnRecord = Callable[[ReadOutcome, JobRecord | None, int], Any]
 
 
-def build_end_write(job: str, record: JobRecord, mod_revision: int) -> tuple[dict[str, int], state_wire.Put]:
-    """Return the condition and the operation that end a job's record, if it still is of the revision that was read."""
-    key = job_key(job)
+def build_end_write(job_id: str, record: JobRecord, mod_revision: int) -> tuple[dict[str, int], state_wire.Put]:
+    """Return the condition and the operation that write the end of a job over revision `mod_revision` of its record."""
+    key = job_key(job_id)
     return {key: mod_revision}, state_wire.put(key, msgspec.to_builtins(record))
 
 
 class JobRecordStore:
-    """Reads and ends job records in the state service; the job index takes over the results."""
+    """Reads and ends jobs through their records in the state store."""
 
     def __init__(self, context: NodeContext, store: StateClient, job_index: JobIndex) -> None:
-        """Records of `store`; `job_index` takes over what is read and written."""
+        """Initialize access to the records in `store`; `job_index` is updated with what is read and written."""
         self._effects = context.effects
         self._store = store
         self._job_index = job_index
 
     def build_ended_record(self, team: str, state: JobState) -> JobRecord:
-        """Return the record of a job that ends now; its time of day says when the job's dependents are released."""
+        """Return the record of a job that ends now; its time is that of its dependents' release."""
         return JobRecord(team, state, status_since=round(self._effects.wall(), 1))
 
     def fetch(
         self,
-        job: str,
+        job_id: str,
         done: OnRecord,
         priority: CallPriority = CallPriority.ASSIGN,
-        wait: float = MAX_QUEUED_S,
-        timeout: float = CALL_TIMEOUT_S,
+        queue_timeout_s: float = QUEUE_TIMEOUT_S,
+        answer_timeout_s: float = CALL_TIMEOUT_S,
     ) -> None:
-        """Read a job's record, and leave the job index as it is."""
+        """Read a job's record without updating the job index."""
 
         def on_read(result: ReadResult) -> None:
             if result.item is None:
@@ -60,53 +60,54 @@
             else:
                 done(result.outcome, parse_record(result.item.value), result.item.mod_revision)
 
-        self._store.get(job_key(job), on_read, priority, wait, timeout)
+        self._store.get(job_key(job_id), on_read, priority, queue_timeout_s, answer_timeout_s)
 
     def read_into_index(
         self,
-        job: str,
+        job_id: str,
         done: OnRecord,
         priority: CallPriority = CallPriority.ASSIGN,
-        wait: float = MAX_QUEUED_S,
-        timeout: float = CALL_TIMEOUT_S,
+        queue_timeout_s: float = QUEUE_TIMEOUT_S,
+        answer_timeout_s: float = CALL_TIMEOUT_S,
     ) -> None:
-        """Read a job's record into the job index, then call `done` with it."""
+        """Read a job's record, update the job index with it, then call `done`."""
 
         def on_record(outcome: ReadOutcome, record: JobRecord | None, mod_revision: int) -> None:
             if record is not None:
-                self._job_index.apply_record(job, record, mod_revision)
+                self._job_index.apply_record(job_id, record, mod_revision)
             done(outcome, record, mod_revision)
 
-        self.fetch(job, on_record, priority, wait, timeout)
+        self.fetch(job_id, on_record, priority, queue_timeout_s, answer_timeout_s)
 
     def end_jobs(
         self,
         ends: dict[str, tuple[JobRecord, int]],
         done: Callable[[Outcome, list[str]], Any],
-        wait: float = MAX_QUEUED_S,
-        timeout: float = CALL_TIMEOUT_S,
+        queue_timeout_s: float = QUEUE_TIMEOUT_S,
+        answer_timeout_s: float = CALL_TIMEOUT_S,
     ) -> None:
-        """End several jobs at once, all or none, each on the revision of its record that was read.
+        """End several jobs in one transaction, provided that each record still has the revision that was read.
 
-        `done` is called with the outcome and the jobs whose records have to be read before anything is answered or
-        done about them: another end came first, or nobody knows whether ours was written. When it is called after a
-        success, the job index has taken the ends over.
+        `ends` has the final record and the revision that was read for each job id. `done` is called with the outcome
+        and the ids of the jobs whose records have to be read again before anything is decided about them: another end
+        came first, or it is unknown whether this one was written. After a success, the job index has been updated
+        before the call.
         """
         conditions: dict[str, int] = {}
         operations: list[state_wire.Operation] = []
-        for job, (record, mod_revision) in ends.items():
-            condition, operation = build_end_write(job, record, mod_revision)
+        for job_id, (record, mod_revision) in ends.items():
+            condition, operation = build_end_write(job_id, record, mod_revision)
             conditions |= condition
             operations.append(operation)
 
         def on_result(result: TransactionResult) -> None:
             if result.outcome is Outcome.COMMITTED:
-                for job, (record, _mod_revision) in ends.items():
-                    self._job_index.apply_record(job, record, result.revision)
+                for job_id, (record, _mod_revision) in ends.items():
+                    self._job_index.apply_record(job_id, record, result.revision)
                 done(result.outcome, [])
             elif result.outcome is Outcome.UNKNOWN:
                 done(result.outcome, list(ends))
             else:
-                done(result.outcome, [job for job in ends if job_key(job) in result.failed_keys])
+                done(result.outcome, [job_id for job_id in ends if job_key(job_id) in result.failed_keys])
 
-        self._store.transact(conditions, operations, CallPriority.ADMIT, on_result, wait, timeout)
+        self._store.transact(conditions, operations, CallPriority.ADMIT, on_result, queue_timeout_s, answer_timeout_s)
