--- a/tealhook/jobs/job_entry.py
+++ b/tealhook/jobs/job_entry.py
@@ -40,15 +40,13 @@
         self.accepted_at = accepted_at  # wall-clock time
         self.team = team
         self.mod_revision = mod_revision
-        self.missing_chunks = set(
-            range(1, extra_chunks + 1)
-        )  # numbers of the dependency chunks that have not been read yet
+        # Numbers of the dependency chunks that have not been read yet.
+        self.missing_chunks = set(range(1, extra_chunks + 1))
         self.pending_dependencies = dict.fromkeys(spec.depends_on)  # dependencies not known to be done, in order
         self.released_at = accepted_at  # time at which the last of its dependencies was done
         self.priority = PRIORITY_RANK[spec.priority]  # the highest rank among the job itself and all its dependents
-        self.deadline_at = (
-            self.own_deadline_at
-        )  # the latest end that lets the job and its dependents meet their deadlines
+        # The latest end that lets the job and its dependents meet their deadlines.
+        self.deadline_at = self.own_deadline_at
 
     @property
     def own_deadline_at(self) -> float:
