--- a/tealhook/health_check.py
+++ b/tealhook/health_check.py
@@ -33,13 +33,13 @@
         """
         now = self._effects.now()
         unanswered_s = now - self._store.answered_at
-        if self._job_index.synced and unanswered_s < self._lease_s / 4:
+        if self._job_index.is_synced and unanswered_s < self._lease_s / 4:
             reply(HTTPStatus.OK, b"{}")
             return
         is_any_peer_served = any(
             now - store_answered_at < self._lease_s / 8 for store_answered_at in self._peers.store_answered_at.values()
         )
-        if not self._job_index.synced or is_any_peer_served:
+        if not self._job_index.is_synced or is_any_peer_served:
             reply(HTTPStatus.SERVICE_UNAVAILABLE, error_body("no state service"), UNHEALTHY_RETRY_AFTER_S)
         else:
             reply(HTTPStatus.OK, b"{}")
--- a/tealhook/scheduling/demand.py
+++ b/tealhook/scheduling/demand.py
@@ -32,7 +32,7 @@
     def progress(self) -> dict[str, wire.JobProgress]:
         """Return the numbers of done and running tasks of each active job."""
         return {
-            job.id: wire.JobProgress(job.done_count, job.running_count())
+            job.id: wire.JobProgress(job.done_count, job.count_running())
             for team_state in self._teams.values()
             for job in team_state.jobs.values()
             if job.spec is not None
@@ -48,15 +48,15 @@
         for team_state in self._teams.values():
             headroom = _Headroom(team_state)
             for job in _jobs_oldest_first(team_state):
-                count = job.waiting_count()
+                count = job.count_waiting()
                 if job.spec is None or count <= 0:
                     continue
-                if job.failing:
+                if job.is_failing:
                     count = 1  # capacity for the next retry only, since the job may fail on every machine
                 count = headroom.take(count, job.resources[0])
                 if count <= 0:
                     continue
-                requirements = job.requirements()
+                requirements = job.build_requirements()
                 demand = demand_by_key.setdefault(
                     (team_state.name, requirements, job.spec.zone),
                     wire.Demand(team_state.name, requirements, job.spec.zone, 0, job.spec.job_class),
@@ -74,11 +74,11 @@
                 if job.spec is None or job.spec.allows_spot:
                     continue
                 count, demands = len(job.attempts) + len(job.staged), placed
-                if job.blocked and self._is_released_soon(job):
+                if job.is_blocked and self._is_released_soon(job):
                     count, demands = headroom.take(job.task_count, job.resources[0]), blocked
                 if count > 0:
                     demands.append(
-                        wire.Demand(team_state.name, job.requirements(), job.spec.zone, count, job.spec.job_class)
+                        wire.Demand(team_state.name, job.build_requirements(), job.spec.zone, count, job.spec.job_class)
                     )
         return blocked, placed
 
@@ -97,7 +97,7 @@
     """CPUs that a team may still use within its limit."""
 
     def __init__(self, team_state: TeamState) -> None:
-        self._free_cpus = team_state.limit - team_state.allocated() if team_state.limit > 0 else UNLIMITED_CPUS
+        self._free_cpus = team_state.cpu_limit - team_state.allocated() if team_state.cpu_limit > 0 else UNLIMITED_CPUS
 
     def take(self, count: int, cpus_per_task: float) -> int:
         """Take the CPUs of as many of `count` tasks as fit, and return the number of these tasks."""
@@ -118,5 +118,5 @@
         for job in team_state.jobs.values()
         if job.spec is not None and job.priority > STANDARD_RANK
     )
-    over_guarantee_cpus = max(0.0, used_cpus - team_state.guarantee) if team_state.guarantee > 0 else used_cpus
+    over_guarantee_cpus = max(0.0, used_cpus - team_state.cpu_guarantee) if team_state.cpu_guarantee > 0 else used_cpus
     return wire.TeamUsage(team_state.name, used_cpus, urgent_cpus, over_guarantee_cpus)
--- a/tealhook/scheduling/job_committer.py
+++ b/tealhook/scheduling/job_committer.py
@@ -108,12 +108,12 @@
         now = self._effects.now()
         pending = PendingJobs([], [])
         for team_state in self._teams.values():
-            if not team_state.ready:
+            if not team_state.is_ready:
                 continue
             for job in team_state.jobs.values():
                 if job.write_state is not WriteState.SETTLED or now < job.write_not_before:
                     continue
-                if job.staged or job.finished:
+                if job.staged or job.is_finished:
                     pending.required.append(PendingJob(team_state, job))
                 elif self._needs_deferrable_write(job, now):
                     pending.deferrable.append(PendingJob(team_state, job))
@@ -128,7 +128,7 @@
     @staticmethod
     def _sort_by_importance(pending: list[PendingJob]) -> list[PendingJob]:
         """Return jobs above standard priority, then the others; in both, finished jobs and most tasks done first."""
-        by_progress = sorted(pending, key=lambda item: (not item.job.finished, -item.job.done_count))
+        by_progress = sorted(pending, key=lambda item: (not item.job.is_finished, -item.job.done_count))
         prioritized: list[PendingJob] = []
         others: list[PendingJob] = []
         for item in by_progress:
--- a/tealhook/scheduling/reconciliation.py
+++ b/tealhook/scheduling/reconciliation.py
@@ -99,9 +99,9 @@
             allowed_s = default_s
             for job, attempt in self._attempt_index.find(machine, team_state):
                 self._settle_launch(attempt, asked_at, reply)
-                if job.ended_since is not None:
+                if job.stopping_since is not None:
                     allowed_s = min(
-                        allowed_s, self._time_before_fencing(now - job.ended_since, default_s, single_machine_s)
+                        allowed_s, self._time_before_fencing(now - job.stopping_since, default_s, single_machine_s)
                     )
             # A machine without a heartbeat under this token counts as silent since its partition's owner took over.
             if (silent_s if silent_s >= 0 else reply.owned_s) > allowed_s:
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -85,7 +85,11 @@
 def test_production_job_ownership_and_type_records_are_read():
     jobs = {name: parse_record(value) for name, value in PRODUCTION_DATA["jobs"].items()}
     assert {name: record.status for name, record in jobs.items()} == {name: name for name in jobs} and len(jobs) == 3
-    assert jobs["active"].spec.task_count == 600 and jobs["active"].spec.image_gb == 0.9 and jobs["active"].at == 1e9
+    assert (
+        jobs["active"].spec.task_count == 600
+        and jobs["active"].spec.image_gb == 0.9
+        and jobs["active"].status_since == 1e9
+    )
     assert set(PRODUCTION_DATA["own"]) == {"n", "b", "z"} and int(PRODUCTION_DATA["own"]["b"], 16) == 0x38538D0EA8C72DB3
     assert msgspec.convert(PRODUCTION_DATA["types"], MachineTypes).machine_types[0].zones == ["za", "zb"]
 
@@ -130,7 +134,7 @@
 
 def _write_chunks(job: Job, durable: dict[int, dict], max_chunks: int) -> dict[int, dict]:
     """Apply one write of a job to the durable chunks, as the state store does, and check that it is within limits."""
-    written = job.lay_out(MAX_RECORD_BYTES, max_chunks)
+    written = job.lay_out_chunks(MAX_RECORD_BYTES, max_chunks)
     assert 0 < len(written) <= max_chunks and all(
         len(encode_json(value)) <= MAX_RECORD_BYTES for value in written.values()
     )
@@ -194,7 +198,7 @@
 def test_attempt_ending_during_copy_is_removed_from_all_chunks():
     durable = {int(chunk): value for chunk, value in PRODUCTION_DATA["live_250"].items()}
     job = _load_job(durable)
-    written = job.lay_out(MAX_RECORD_BYTES, 2)
+    written = job.lay_out_chunks(MAX_RECORD_BYTES, 2)
     assert 0 not in written and job.moved_attempts
     attempt, target = job.moved_attempts[0]
     del job.attempts[attempt.index]
