--- a/tealhook/scheduling/candidates.py
+++ b/tealhook/scheduling/candidates.py
@@ -14,9 +14,9 @@
     GPU_INDEX,
     NOTHING_RESERVED,
     ROUNDING_TOLERANCE,
-    remaining_limit,
+    compute_remaining_limit,
+    count_tasks_within_limit,
     reserved_for_overdue,
-    tasks_within_limit,
 )
 from tealhook.wire.users import PRIORITY_RANK, STANDARD_RANK, JobSpec
 
@@ -78,7 +78,7 @@
         self.team = team
         self.job = job
         self.spec = spec
-        # Min-min alone favours short and small tasks, and ranks favour high priorities. To prevent starvation, a job
+        # Min-min alone favors short and small tasks, and ranks favor high priorities. To prevent starvation, a job
         # that has waited for long and not begun goes first, with a single task (a gang with all of its tasks). So does
         # a team's oldest job once it is older than the time within which every job should begin.
         self.count = 1 if flags.overdue and not job.gang else count
@@ -93,10 +93,10 @@
             beyond_guarantee=not flags.within_guarantee,
             late=flags.late,
             not_starving=not self.starving,
-            size_step=self._size_step(),
+            size_step=self._compute_size_step(),
         )
 
-    def _size_step(self) -> int:
+    def _compute_size_step(self) -> int:
         """Return the remaining work of the whole job on a logarithmic scale.
 
         Users count the jobs that finish in time, not their tasks. Therefore the remaining work of the whole job takes
@@ -142,7 +142,7 @@
 
     def _select_team(self, team: TeamState, times: CycleTimes) -> list[Candidate]:
         now = times.now
-        remaining = remaining_limit(team)
+        remaining = compute_remaining_limit(team)
         jobs = sorted(team.jobs.values(), key=lambda job: job.mod_revision)
         self._reserve_for_overdue(team, jobs, now, times.starving_age_s)
         reserved = reserved_for_overdue(team)
@@ -161,10 +161,10 @@
             if job.waiting_count() <= 0 or not self._may_be_placed(job, now):
                 continue
             overdue = self._is_overdue(job, now, times.starving_age_s)
-            allowed = tasks_within_limit(job, remaining, NOTHING_RESERVED if overdue else reserved)
+            allowed = count_tasks_within_limit(job, remaining, NOTHING_RESERVED if overdue else reserved)
             borrows = allowed <= 0 and self._may_borrow(job, spec, now, times.starving_age_s)
             if borrows:
-                allowed = min(1, tasks_within_limit(job, remaining, NOTHING_RESERVED))
+                allowed = min(1, count_tasks_within_limit(job, remaining, NOTHING_RESERVED))
             count = self._count_placeable(job, min(job.waiting_count(), allowed))
             if count <= 0:
                 continue
--- a/tealhook/scheduling/cycle.py
+++ b/tealhook/scheduling/cycle.py
@@ -84,7 +84,7 @@
         if self._is_running:
             return
         candidates = self.selector.select(self._effects.now()) if self._may_place() else []
-        owners = self._partition_owners()
+        owners = self._find_partition_owners()
         if not candidates or not owners:
             self._lengthen_pause(MAX_IDLE_PAUSE_SHARE)
             self._schedule_next()
@@ -100,7 +100,7 @@
         """
         return self._store.is_served and not self._commit_queue.is_backlogged and not self._ownership.lease_uncertain
 
-    def _partition_owners(self) -> dict[str, str]:
+    def _find_partition_owners(self) -> dict[str, str]:
         """Return the partition owners to ask, by zone.
 
         Owners that do not reply would delay each cycle, so only reachable ones are asked if there are any.
@@ -114,7 +114,7 @@
     def _inquire(self, candidates: list[Candidate], owners: dict[str, str]) -> None:
         """Ask the owner of each partition for its earliest capacity for the candidates' requirements."""
         inquiry = InquiryPhase(candidates, owners)
-        self._call_zones(inquiry.owners, inquiry.requests(), inquiry.on_reply, lambda: self._plan(inquiry))
+        self._call_zones(inquiry.owners, inquiry.build_requests(), inquiry.on_reply, lambda: self._plan(inquiry))
 
     def _plan(self, inquiry: InquiryPhase) -> None:
         """Choose among the offered capacities, after all partitions have replied or the time for it is over."""
--- a/tealhook/scheduling/job_writes.py
+++ b/tealhook/scheduling/job_writes.py
@@ -100,13 +100,13 @@
         condition, operation = build_end_write(job.id, record, job.mod_revision)
         write.conditions.update(condition)
         write.operations.append(operation)
-        deleted = self._deletable_chunks(job, self._chunk_limits(job).max_chunks - len(write.operations))
+        deleted = self._find_deletable_chunks(job, self._compute_chunk_limits(job).max_chunks - len(write.operations))
         self._add_chunks(write, dict.fromkeys(deleted))
         return write
 
     def _build_delete(self, team_state: TeamState, job: Job) -> JobWrite | None:
         write = self._start_write(team_state, job, WriteKind.DELETE)
-        deleted = self._deletable_chunks(job, self._chunk_limits(job).max_chunks)
+        deleted = self._find_deletable_chunks(job, self._compute_chunk_limits(job).max_chunks)
         if not deleted:
             job.has_deferrable_change = False
             return None
@@ -115,7 +115,7 @@
 
     def _build_assignment(self, team_state: TeamState, job: Job) -> JobWrite:
         write = self._start_write(team_state, job, WriteKind.ASSIGN)
-        chunks = self._lay_out_chunks(job, self._chunk_limits(job))
+        chunks = self._lay_out_chunks(job, self._compute_chunk_limits(job))
         write.moved_attempts = job.moved_attempts
         write.condition_chunks |= {attempt.chunk for attempt, _ in write.moved_attempts}
         write.staged = list(job.staged.values())
@@ -126,7 +126,7 @@
         return write
 
     @staticmethod
-    def _deletable_chunks(job: Job, max_chunks: int) -> list[int]:
+    def _find_deletable_chunks(job: Job, max_chunks: int) -> list[int]:
         """Return chunks of an ended job to delete: none while it has attempts, and the first chunk last."""
         if job.attempts:
             return []
@@ -151,7 +151,7 @@
         for chunk in write.condition_chunks:
             write.conditions[assignment_key(team, job.id, chunk)] = job.chunk_revisions.get(chunk, 0)
 
-    def _chunk_limits(self, job: Job) -> ChunkLimits:
+    def _compute_chunk_limits(self, job: Job) -> ChunkLimits:
         """Return the limits of one write of a job, halved for each rejection up to `MAX_LIMIT_HALVINGS` times."""
         max_bytes = min(self._store.record_bytes, MAX_TRANSACTION_BYTES / 2)
         max_chunks = min(self._store.max_operations, int(MAX_TRANSACTION_BYTES / max_bytes))
--- a/tealhook/scheduling/planning.py
+++ b/tealhook/scheduling/planning.py
@@ -30,7 +30,7 @@
         """Collect the requirements; candidates with equal ones share an inquiry."""
         self.requirements = list(dict.fromkeys(candidate.requirements for candidate in self.candidates))
 
-    def requests(self) -> dict[str, wire.Body]:
+    def build_requests(self) -> dict[str, wire.Body]:
         """Return the request for each zone."""
         return {zone: wire.CapacityInquiry(zone, self.requirements) for zone in self.owners}
 
--- a/tealhook/scheduling/staging.py
+++ b/tealhook/scheduling/staging.py
@@ -11,9 +11,9 @@
 from tealhook.scheduling.team_limits import (
     GPU_INDEX,
     NOTHING_RESERVED,
-    remaining_limit,
+    compute_remaining_limit,
+    count_tasks_within_limit,
     reserved_for_overdue,
-    tasks_within_limit,
 )
 from tealhook.wire import mesh as wire
 from tealhook.wire.users import JobSpec
@@ -60,8 +60,8 @@
         team, job = candidate.team, candidate.job
         may_use_reserved = candidate.overdue or candidate.borrows
         reserved = NOTHING_RESERVED if may_use_reserved else reserved_for_overdue(team)
-        remaining = remaining_limit(team, count_gpus=job.resources[GPU_INDEX] > 0)
-        count = min(granted, tasks_within_limit(job, remaining, reserved))
+        remaining = compute_remaining_limit(team, count_gpus=job.resources[GPU_INDEX] > 0)
+        count = min(granted, count_tasks_within_limit(job, remaining, reserved))
         zone_limits = self._selector.zone_limits(job, spec, [zone])
         return max(0, min(count, zone_limits.get(zone, count)))
 
--- a/tealhook/scheduling/team_limits.py
+++ b/tealhook/scheduling/team_limits.py
@@ -22,7 +22,7 @@
 NOTHING_RESERVED = LimitedResources(0.0, 0.0)
 
 
-def remaining_limit(team: TeamState, count_gpus: bool = True) -> LimitedResources:
+def compute_remaining_limit(team: TeamState, count_gpus: bool = True) -> LimitedResources:
     """Return what a team's limit leaves beside the tasks that are staged or may be on machines.
 
     Pass `count_gpus=False` where no GPUs are needed: adding up the allocations of all jobs takes time.
@@ -38,7 +38,7 @@
     return LimitedResources(*team.reserved_for_overdue)
 
 
-def tasks_within_limit(job: Job, remaining: LimitedResources, reserved: LimitedResources) -> int:
+def count_tasks_within_limit(job: Job, remaining: LimitedResources, reserved: LimitedResources) -> int:
     """Return the number of a job's tasks that fit into `remaining` without what is `reserved` for other jobs."""
     vcpus, gpus, _memory_gb = job.resources
     count = job.task_count
