--- a/tealhook/fleet/draining.py
+++ b/tealhook/fleet/draining.py
@@ -1,4 +1,4 @@
-"""Draining: chooses the machines to return, and asks the owners of their partitions to drain them."""
+"""Draining: the choice of machines to return, and the requests to the owners of their partitions."""
 
 from __future__ import annotations
 
--- a/tealhook/fleet/releasing.py
+++ b/tealhook/fleet/releasing.py
@@ -20,7 +20,7 @@
 
     def _reset(self) -> None:
         super()._reset()
-        self._releases_in_flight: set[str] = set()
+        self._releasing: set[str] = set()  # machines in release requests that are not answered yet
 
     def fence(self, machines: list[str]) -> None:
         """Release machines, for a team's owner that must know that their tasks have ended."""
@@ -35,11 +35,9 @@
 
     def _release(self, now: float) -> None:
         """Release pending machines, as many as fit one request, if the cloud may be called now."""
-        names = [name for name in self._pending_releases if name not in self._releases_in_flight][
-            : wire.MAX_RELEASED_AT_ONCE
-        ]
-        # All teams request releases one by one, hundreds of them when a zone is silent. A token is kept for the machine
-        # list, so that they don't starve it.
+        names = [name for name in self._pending_releases if name not in self._releasing][: wire.MAX_RELEASED_AT_ONCE]
+        # Teams request releases one by one, hundreds of them when a zone is silent. A token is kept for the machine
+        # list, so that the releases don't starve it.
         keep = 1.0 if self._is_listing or now - self._listed_at > self._list_lag_s * self._page_count else 0.0
         if (
             not names
@@ -50,11 +48,11 @@
             return
         if not self._bucket.take(1, now, keep):
             return
-        self._releases_in_flight.update(names)
+        self._releasing.update(names)
 
         def on_answer(status: int | None, _body: bytes) -> None:
             self._calls_in_flight -= 1
-            self._releases_in_flight.difference_update(names)
+            self._releasing.difference_update(names)
             if status != 200:
                 return
             log.info("fleet: released machines %s", ", ".join(names))
--- a/tealhook/fleet/renting.py
+++ b/tealhook/fleet/renting.py
@@ -1,4 +1,4 @@
-"""Renting: chooses what to rent, sends the requests, and avoids what the cloud refused lately."""
+"""Renting: the choice of machines to rent, the requests to the cloud, and pauses after refusals."""
 
 from __future__ import annotations
 
