--- a/tealhook/fleet/cloud_calls.py
+++ b/tealhook/fleet/cloud_calls.py
@@ -24,7 +24,7 @@
 
 CALL_TIMEOUT_S = 5.0
 RATE_LIMIT_SHARE = 0.9  # share of the cloud's rate limit that is used
-TYPES_REFRESH_LAGS = 8.0  # The machine types are fetched again after this multiple of the list lag.
+TYPES_REFRESH_LAGS = 8.0  # Types and prices are fetched again after this multiple of the list lag.
 TYPES_WRITE_RETRY_S = 1.0  # delay until the machine types are fetched and written again if a write may be lost
 
 # Called with the status, which is None if there was no answer, and the body.
--- a/tealhook/fleet/listing.py
+++ b/tealhook/fleet/listing.py
@@ -18,7 +18,7 @@
 
 
 class MachineListing(CloudCalls):
-    """Updates the machines by the cloud's list, which lags behind."""
+    """Updates the machines from the cloud's list, which lags behind."""
 
     def _reset(self) -> None:
         super()._reset()
@@ -78,7 +78,7 @@
             self._effects.later(pause_s, lambda: self._list_next_page(after, listed) if self._token == token else None)
 
     def _on_list(self, listed: list[wire.ListedMachine]) -> None:
-        """Update the machines by a complete list."""
+        """Update the machines from a complete list."""
         now = self._effects.now()
         self._has_listed = True
         names = set()
@@ -101,6 +101,6 @@
             elif item.status == wire.MachineStatus.RUNNING and machine.status == wire.MachineStatus.STARTING:
                 self._on_provisioned(machine, now)
         for name, machine in self._machines.items():
-            # The cloud has taken the machine back, or the list is an old one: its absence alone proves nothing.
+            # The cloud has terminated the machine, or the list is an old one: the absence alone proves nothing.
             if machine.listed and name not in names and machine.missing_since is None:
                 machine.missing_since = now
--- a/tealhook/fleet/machine_types.py
+++ b/tealhook/fleet/machine_types.py
@@ -16,7 +16,7 @@
 
 Steps share a transaction as far as they fit into one. Each transaction is conditional on the ownership of the fleet, on
 the revision of the first record, and on the revision of every record that it changes. So a transaction that is executed
-late, after a retry or under the next owner, fails. The version in production only knows `fleet/types` and overwrites it
+late, after a retry or under the next owner, fails. The previous version only knows `fleet/types` and overwrites it
 with the whole list. That value refers to no continuation records, so the list is complete then, too, and the next owner
 of this version deletes the surplus ones.
 """
--- a/tealhook/fleet/manager.py
+++ b/tealhook/fleet/manager.py
@@ -90,8 +90,8 @@
     ) -> None:
         """Scale the fleet to the demand that all nodes have gossiped: rent, drain and fence machines.
 
-        `zones`: the zones whose partition's owner has reported its machines lately. `non_spot_demand`: tasks that may
-        not use spot machines.
+        `zones`: the zones whose partition's owner has reported its machines recently. `non_spot_demand`: tasks that
+        may not use spot machines.
         """
         if (
             self._token is None
--- a/tealhook/fleet/releasing.py
+++ b/tealhook/fleet/releasing.py
@@ -40,7 +40,7 @@
         ]
         # All teams request releases one by one, hundreds of them when a zone is silent. A token is kept for the machine
         # list, so that they don't starve it.
-        keep = 1.0 if self._is_listing or now - self._listed_at > self._list_lag_s * self._page_count else 0.0
+        kept_tokens = 1.0 if self._is_listing or now - self._listed_at > self._list_lag_s * self._page_count else 0.0
         if (
             not names
             or self._ownership.is_lease_uncertain
@@ -48,7 +48,7 @@
             or now < self._no_release_before
         ):
             return
-        if not self._bucket.take(1, now, keep):
+        if not self._bucket.take(1, now, kept_tokens):
             return
         self._releases_in_flight.update(names)
 
@@ -67,7 +67,7 @@
         self._call("POST", "/rentals/release", encode_json({"boxes": names}), on_answer)
 
     def _watch_health(self, states: dict[str, mesh_wire.MachineState], zones: set[str], now: float) -> None:
-        """Request the release of machines that are silent, were taken back by the cloud, or never came up."""
+        """Request the release of machines that are silent, were terminated by the cloud, or never came up."""
         fence_s = self._policy.value("fence_s")
         for machine in self._machines.values():
             state = states.get(machine.name)
@@ -87,8 +87,8 @@
     def _must_release_reported(self, machine: RentedMachine, state: mesh_wire.MachineState, fence_s: float) -> bool:
         """Check whether a machine that its partition's owner reports must be released.
 
-        A silent machine that is no longer listed, or that the cloud gave notice to take back, has very likely been
-        taken back, so it is released after a shorter silence to make that certain. A machine with a notice that is
+        A silent machine that is no longer listed, or that has a termination notice, has very likely been terminated by
+        the cloud, so it is released after a shorter silence to make that certain. A machine with a notice that is
         drained is released at once: it is of no more use, but still paid for.
         """
         workers = self._settings.params.workers
@@ -116,7 +116,7 @@
             machine.missing_since is not None
             and now - max(machine.missing_since, machine.reported_at) > self._list_lag_s
         ):
-            # The cloud took the machine back while its partition changed owners: the new owner never hears of it.
+            # The cloud terminated the machine while its partition changed owners: the new owner never hears of it.
             return True
         if (
             machine.status == wire.MachineStatus.RUNNING
--- a/tealhook/fleet/renting.py
+++ b/tealhook/fleet/renting.py
@@ -1,4 +1,4 @@
-"""Renting: chooses what to rent, sends the requests, and avoids what the cloud refused lately."""
+"""Renting: chooses what to rent, sends the requests, and avoids what the cloud refused recently."""
 
 from __future__ import annotations
 
@@ -18,8 +18,8 @@
 
 log = logging.getLogger(__name__)
 
-# An on-demand machine is expensive if its price is more than this multiple of the spot price. Draining compares prices
-# in steps of this factor.
+# An on-demand machine is expensive if its price is more than this multiple of the spot price. Expensive machines are
+# rented only for urgent work. Draining compares prices in steps of this factor.
 EXPENSIVE_PRICE_RATIO = 1.5
 
 
@@ -192,6 +192,6 @@
         self._refusals[option] = Refusal(now + pause_s * (0.75 + 0.5 * self._effects.rng.random()), pause_s)
 
     def _is_refused(self, option: RentalOption, now: float) -> bool:
-        """Check whether the cloud refused an option so lately that it is not requested."""
+        """Check whether the cloud refused an option so recently that it is not requested."""
         refusal = self._refusals.get(option)
         return refusal is not None and refusal.until > now
--- a/tealhook/partitions/commands.py
+++ b/tealhook/partitions/commands.py
@@ -34,7 +34,7 @@
         status_updates: StatusUpdates,
         responder: HeartbeatResponder,
     ) -> None:
-        """Take sequence numbers of replies from `status_updates`, and answer open heartbeats through `responder`."""
+        """Initialize without commands; `status_updates` numbers the replies, `responder` answers open heartbeats."""
         self._effects = state.context.effects
         self._token = state.token
         self._job_index = state.job_index
@@ -163,7 +163,7 @@
         return entry.spec.checkpoint_s if entry and entry.spec.checkpoint_interval_s > 0 else 0.0
 
     def stop(self, request: mesh.StopRequest) -> None:
-        """Stop or forget attempts at the request of a team's current scheduler; ignore earlier ones."""
+        """Stop or forget attempts for a team's current scheduler; ignore the requests of earlier schedulers."""
         if not self._reservations.accept_team_token(request.team, request.team_token):
             return
         stopping_machines: dict[str, Machine] = {}
--- a/tealhook/partitions/heartbeats.py
+++ b/tealhook/partitions/heartbeats.py
@@ -32,7 +32,7 @@
         health: MachineHealth,
         status_updates: StatusUpdates,
     ) -> None:
-        """Pass the changes found in heartbeats on to the given components."""
+        """Initialize the receiver, which passes what heartbeats show on to the given components."""
         self._effects = state.context.effects
         self._workers = state.context.workers
         self._state = state
--- a/tealhook/partitions/manager.py
+++ b/tealhook/partitions/manager.py
@@ -91,14 +91,14 @@
         return self._ownership.is_lease_uncertain or self._job_index.watcher.age() > self._ownership.node_lease_ttl_s
 
     def is_silent(self, zone: str | None) -> bool:
-        """Check whether no worker of an owned zone, or of any if `zone` is None, has been heard of for a lease."""
+        """Check whether no worker of an owned zone, or of any if `zone` is None, has sent a heartbeat for a lease."""
         partitions = (
             self.partitions.values() if zone is None else [self.partitions[zone]] if zone in self.partitions else []
         )
         return all(partition.is_silent for partition in partitions)
 
     def remove_machine(self, machine: str) -> None:
-        """Remove a released machine for good."""
+        """Remove a released machine permanently."""
         self._released_machines.add(machine)
         for partition in self.partitions.values():
             partition.remove_machine(machine)
--- a/tealhook/partitions/packing.py
+++ b/tealhook/partitions/packing.py
@@ -11,7 +11,7 @@
 
 # Sort key: not a spot machine, free CPUs, time of the last heartbeat, position in the given list. A plain tuple, since
 # thousands are created and compared for each request.
-Rank = tuple[bool, float, float, int]
+PackingRank = tuple[bool, float, float, int]
 
 
 class PackingOrder:
@@ -29,7 +29,7 @@
         ranks = [(self._rank(machine), machine) for machine in machines]
         self._ranked = sorted(ranks, key=itemgetter(0))
 
-    def _rank(self, machine: Machine) -> Rank:
+    def _rank(self, machine: Machine) -> PackingRank:
         return (
             not machine.spot,
             self._free_resources[machine.name][0],
--- a/tealhook/partitions/partition.py
+++ b/tealhook/partitions/partition.py
@@ -96,7 +96,7 @@
 
     @property
     def is_silent(self) -> bool:
-        """True if no machine has been heard of for longer than a lease, also if there are no machines."""
+        """True if no machine has sent a heartbeat for longer than a lease, also if there are no machines."""
         since = self._effects.now() - SILENT_PARTITION_LEASES * self._workers.lease_s
         return self._state.owned_since < since and all(
             machine.last_heartbeat_at < since for machine in self.machines.values()
--- a/tealhook/partitions/preemption.py
+++ b/tealhook/partitions/preemption.py
@@ -103,8 +103,8 @@
         if scope is not PreemptionScope.ANY:
             return [task for task in self._checkpointing_tasks(machine) if task.job in self._job_index.active]
         # A task that has run for long is closer to its end than to its beginning: its resources become free soon
-        # anyway, so it is not worth losing its work. Tasks with checkpoints are exempt, since under this limit tasks
-        # of a few minutes kept all machines once they had run for too long.
+        # anyway, so it is not worth losing its work. Tasks with checkpoints are exempt: under this limit, tasks of a
+        # few minutes kept all machines occupied once they had run for longer than it.
         max_run_s = max(MAX_VICTIM_RUN_RATIO * request.requirements.run_s, self._workers.lease_s)
         return [
             task
--- a/tealhook/partitions/redirects.py
+++ b/tealhook/partitions/redirects.py
@@ -61,7 +61,7 @@
     def _cannot_reach_owner(self, heartbeat: wire.Heartbeat, now: float) -> bool:
         """Check whether a worker seems unable to reach the owner, which this node may still reach.
 
-        It seems so if the worker has the owner's token, or was redirected to the owner lately and came back. It is
+        It seems so if the worker has the owner's token, or was redirected to the owner recently and came back. It is
         redirected again from time to time, since it may be able to reach the owner by then.
         """
         lease_s = self._workers.lease_s
@@ -72,7 +72,7 @@
         return has_tried and now - relayed_since < RELAY_LEASES * lease_s
 
     def _relay(self, machine: str, body: bytes, reply: Reply, owner: str, now: float) -> None:
-        """Pass a heartbeat on to its owner and the owner's answer back; redirect the worker if none comes."""
+        """Relay a heartbeat to the partition's owner and pass its answer back; redirect the worker if none comes."""
         self._remove_expired(self._relayed_since, now)
         self._relayed_since.setdefault(machine, now)
 
--- a/tealhook/partitions/responses.py
+++ b/tealhook/partitions/responses.py
@@ -19,7 +19,7 @@
     """Builds the responses to the heartbeats of one partition."""
 
     def __init__(self, state: PartitionState, capacity: MachineCapacity, commands: WorkerCommands) -> None:
-        """Use `commands` as the source of the commands in responses, and `capacity` to find free resources."""
+        """Initialize with the commands to send, and the capacity that decides how long responses are held open."""
         self._effects = state.context.effects
         self._workers = state.context.workers
         self._token = state.token
--- a/tealhook/partitions/status_updates.py
+++ b/tealhook/partitions/status_updates.py
@@ -30,7 +30,7 @@
         launched_jobs: LaunchedJobs,
         observer: PartitionObserver,
     ) -> None:
-        """Send updates to `observer`, and report jobs to it that are unknown on this node."""
+        """Initialize for an `observer`, which gets the updates and the jobs of tasks that are unknown on this node."""
         self._effects = state.context.effects
         self._workers = state.context.workers
         self._state = state
--- a/tealhook/scheduling/attempts.py
+++ b/tealhook/scheduling/attempts.py
@@ -69,7 +69,7 @@
         for job, attempt in self._index.find(update.machine, team_state, matched):
             if self._proves_absence(attempt, update):
                 log.debug(
-                    "%s/%d: attempt %d is proved absent from machine %s",
+                    "task %s/%d: attempt %d is proved absent from machine %s",
                     job.id,
                     attempt.index,
                     attempt.number,
@@ -192,7 +192,7 @@
     def _on_late_completion(
         self, job: Job, observed: wire.ObservedTask, update: wire.StatusUpdate, stops: list[wire.TaskStop]
     ) -> None:
-        """Mark the task of an abandoned attempt that succeeded done, and stop the attempt that replaced it."""
+        """Mark a task done whose abandoned attempt has succeeded, and stop the attempt that replaced it."""
         if observed.index < job.task_count and not job.done[observed.index]:
             job.mark_done(observed.index)
             current = job.attempts.get(observed.index)
--- a/tealhook/scheduling/candidates.py
+++ b/tealhook/scheduling/candidates.py
@@ -23,9 +23,9 @@
 MAX_CANDIDATES_PER_CYCLE = 48
 # Jobs whose remaining work falls into the same step rank equally, so that min-min chooses among them.
 SIZE_STEPS_PER_DOUBLING = 1.5
-MAX_RESERVED_LIMIT_SHARE = 0.25  # of a team's limit, for overdue jobs; one task's requirements may exceed it
-MAX_BORROWER_RUN_SHARE = 0.5  # of the starving age: longest estimated run of a task that may borrow
-TRUSTED_ESTIMATE_SHARE = 0.75  # of an estimated run time, because users often overestimate it
+MAX_RESERVED_LIMIT_SHARE = 0.25  # share of a team's limit reserved for overdue jobs, unless a single task needs more
+MAX_BORROWER_RUN_SHARE = 0.5  # longest estimated run of a borrowing task, as a share of the starving age
+TRUSTED_ESTIMATE_SHARE = 0.75  # share of an estimated run time that is counted, since users often overestimate it
 
 
 class CandidateFlags(NamedTuple):
@@ -147,7 +147,7 @@
         self._reserve_for_overdue(team, jobs, now, times.starving_age_s)
         reserved = reserved_for_overdue(team)
         guarantee_left = team.cpu_guarantee
-        is_oldest = True
+        is_oldest_sought = True  # the oldest job that should have begun is not found yet
         candidates: list[Candidate] = []
         for job in jobs:
             spec = job.spec
@@ -169,8 +169,8 @@
             if count <= 0:
                 continue
             starving = now - job.waiting_since > times.starving_age_s
-            if is_oldest and not job.is_failing and now - job.schedulable_since > times.begin_within_s:
-                overdue, is_oldest = True, False
+            if is_oldest_sought and not job.is_failing and now - job.schedulable_since > times.begin_within_s:
+                overdue, is_oldest_sought = True, False
             flags = CandidateFlags(within_guarantee, starving, overdue, self._is_late(job, spec, now), borrows)
             candidates.append(Candidate(team, job, spec, count, flags))
         return candidates
@@ -202,9 +202,9 @@
         """Check whether a job, begun or not, may borrow one task's requirements reserved for overdue jobs.
 
         An overdue job may find no capacity for minutes. Its reservation stays unused meanwhile, and other tasks of its
-        team keep the rest of the limit taken: a low-ranked job that had begun got nothing, although small machines had
-        capacity for it. Therefore a job that has had no task assigned for long may borrow, if the task returns the
-        capacity soon: lending to long tasks delayed the overdue job by another minute.
+        team use up the rest of the limit, so that a low-ranked job that has begun gets nothing although small machines
+        have capacity for it. Therefore a job that has had no task assigned for long may borrow, if its tasks are short:
+        lending to long tasks delayed the overdue job by another minute.
         """
         stalled = now - max(job.schedulable_since, job.last_assigned_at) > starving_age_s and not job.staged
         return stalled and spec.estimated_run_s <= MAX_BORROWER_RUN_SHARE * starving_age_s
--- a/tealhook/scheduling/commit_batch.py
+++ b/tealhook/scheduling/commit_batch.py
@@ -48,7 +48,7 @@
         )
 
     def mark_pending(self) -> None:
-        """Mark the jobs as having a write in progress, so that nothing else is written of them until its outcome."""
+        """Mark the jobs as having a write in progress: no other write of them is sent until its outcome is known."""
         for write in self.writes:
             write.job.write_state = WriteState.PENDING
             write.job.dirty_chunks -= write.written_chunks
--- a/tealhook/scheduling/commit_outcomes.py
+++ b/tealhook/scheduling/commit_outcomes.py
@@ -20,11 +20,11 @@
 log = logging.getLogger(__name__)
 
 REJECTION_MEMORY_S = 60.0  # a job's writes stay small for this long after a rejection
-MAX_BACKOFF_S = 60.0  # longest pause between attempts to write a job whose smallest write is rejected
+MAX_BACKOFF_S = 60.0  # longest pause before a job is written again whose smallest write is rejected
 
 
 class PendingLaunches:
-    """Attempts to launch once the outcome has been applied to all jobs of a transaction, by team and zone."""
+    """Attempts that are launched once the outcome has been applied to all jobs of a transaction, by team and zone."""
 
     def __init__(self) -> None:
         """Initialize without attempts."""
@@ -54,7 +54,7 @@
     ) -> None:
         """Initialize the handler.
 
-        `proved_absent` holds each job's attempts that are known to be off their machines, until that is durable.
+        `proved_absent` holds each job's attempts that are proved absent from their machines, until that is durable.
         """
         self._effects = context.effects
         self._workers = context.workers
@@ -112,7 +112,7 @@
         team_state, job = write.team_state, write.job
         job.move_attempts(write.moved_attempts, write.written_chunks)
         if 0 in write.written_chunks:
-            # From now on, a copy of unknown outcome fails on the first chunk's revision.
+            # An earlier write of unknown outcome that is executed late now fails on the first chunk's revision.
             job.uncertain_chunks.clear()
         written = {attempt.index for attempt in write.staged}
         job.has_deferrable_change = bool(job.dirty_chunks or job.staged.keys() - written)
@@ -144,7 +144,7 @@
     def apply_not_executed(self, write: JobWrite, failed_keys: list[str]) -> None:
         """Unstage obsolete tasks of a job whose write was certainly not executed, or read the job's records again.
 
-        If the cause of a conflict remained, the job would also fail later transactions that it shares with others.
+        If the cause of a conflict remained, later transactions that the job shares with others would fail as well.
         """
         team_state, job = write.team_state, write.job
         now = self._effects.now()
@@ -181,7 +181,7 @@
             backoff_s = self._workers.report_s * 2 ** (job.rejections - MAX_LIMIT_HALVINGS)
             job.write_not_before = now + min(backoff_s, MAX_BACKOFF_S)
             log.error(
-                "job %s: write of its assignment record rejected by the state store, next attempt in %.0f s",
+                "job %s: write of its assignment record rejected by the state store, retrying in %.0f s",
                 job.id,
                 job.write_not_before - now,
             )
--- a/tealhook/scheduling/failure_backoff.py
+++ b/tealhook/scheduling/failure_backoff.py
@@ -39,7 +39,6 @@
             pause_s = self._report_s * 2**doublings
             job.placement_not_before = now + pause_s * (0.75 + 0.5 * self._effects.rng.random())
         log.debug("task %s/%d: failed on machine %s", job.id, attempt.index, attempt.machine)
-        if (
-            job.consecutive_failures == FAILING_JOB_MIN_FAILURES
-        ):  # logged once, however often the job's tasks fail after that
+        if job.consecutive_failures == FAILING_JOB_MIN_FAILURES:
+            # Logged once, however often the job's tasks fail after that.
             log.info("job %s: %d tasks failed in a row, retrying one task at a time", job.id, job.consecutive_failures)
--- a/tealhook/scheduling/interfaces.py
+++ b/tealhook/scheduling/interfaces.py
@@ -33,7 +33,7 @@
         """Ask partition owners for the tasks on a team's machines."""
 
     def wake_scheduler(self) -> None:
-        """Start the next scheduling cycle soon, since tasks may be placeable."""
+        """Shorten the pauses between scheduling cycles, because tasks may be placeable now."""
 
 
 class CommitQueue(Protocol):
--- a/tealhook/scheduling/job_building.py
+++ b/tealhook/scheduling/job_building.py
@@ -39,7 +39,7 @@
 
         The time is on this process's monotonic clock; it is `now` if the record does not have it.
         """
-        schedulable_at = max(entry.accepted_at, entry.released_at)  # by the time of day
+        schedulable_at = max(entry.accepted_at, entry.released_at)  # on the wall clock
         return now - max(0.0, self._effects.wall() - schedulable_at) if schedulable_at > 0 else now
 
     def update_priority(self, job: Job, entry: JobEntry, now: float) -> None:
--- a/tealhook/scheduling/job_committer.py
+++ b/tealhook/scheduling/job_committer.py
@@ -23,9 +23,9 @@
 from tealhook.wire.users import STANDARD_RANK
 
 MAX_JOBS_PER_TRANSACTION = 64
-COMMITS_PER_HEARTBEAT = 25  # at most, as a rule: changes of several jobs between two commits share a transaction
+COMMITS_PER_HEARTBEAT = 25  # usual maximum; the changes of jobs between two commits share a transaction
 MIN_TOKEN_WAIT_S = 0.02  # shortest wait for write tokens
-REFUSED_RETRY_S = 0.2  # pause after a transaction that the state store refused
+REFUSED_RETRY_S = 0.2  # pause after a transaction that the state store refused, for example because it was busy
 TIMER_TOLERANCE_S = 1e-6  # a commit due at most this long after the requested time serves the request as well
 
 
@@ -120,14 +120,14 @@
         return pending
 
     def _needs_deferrable_write(self, job: Job, now: float) -> bool:
-        """Check whether a job's record can be deleted, or has an unwritten change older than a heartbeat period."""
+        """Check whether a job's assignment record can be deleted, or has lacked a change for a heartbeat period."""
         if job.spec is None and not job.attempts and job.chunk_revisions:
             return True
         return job.has_deferrable_change and now - job.deferrable_since > self._workers.report_s
 
     @staticmethod
     def _sort_by_importance(pending: list[PendingJob]) -> list[PendingJob]:
-        """Return jobs above standard priority, then the others; in both, finished jobs and most tasks done first."""
+        """Return jobs above standard priority, then the others; in both, finished jobs first, then most tasks done."""
         by_progress = sorted(pending, key=lambda item: (not item.job.is_finished, -item.job.done_count))
         prioritized: list[PendingJob] = []
         others: list[PendingJob] = []
--- a/tealhook/scheduling/job_writes.py
+++ b/tealhook/scheduling/job_writes.py
@@ -52,7 +52,7 @@
     conditions: state_wire.Conditions
     condition_chunks: set[int]  # chunks whose revisions are conditions
     operations: list[state_wire.Operation] = field(default_factory=list)
-    staged: list[Attempt] = field(default_factory=list)  # attempts that the write makes durable
+    staged: list[Attempt] = field(default_factory=list)  # attempts staged when the write was built
     written_chunks: set[int] = field(default_factory=set)
     kept_chunks: set[int] = field(default_factory=set)  # written chunks that are not deleted
     moved_attempts: list[MovedAttempt] = field(default_factory=list)  # attempts that another chunk names afterwards
@@ -89,8 +89,8 @@
             team_key(team_state.name): team_state.token,
             assignment_key(team_state.name, job.id): job.chunk_revisions.get(0, 0),
         }
-        # Without conditions on the uncertain chunks, a copy that is executed late could write chunks unknown to this
-        # scheduler.
+        # Without conditions on the uncertain chunks, an earlier write of unknown outcome that is executed late could
+        # write chunks without this scheduler's knowledge.
         condition_chunks = {0, *sorted(job.uncertain_chunks)[: self._store.max_operations]}
         return JobWrite(team_state, job, kind, conditions, condition_chunks)
 
--- a/tealhook/scheduling/launches.py
+++ b/tealhook/scheduling/launches.py
@@ -79,7 +79,7 @@
             if job is None or job.attempts.get(attempt.index) is not attempt:
                 continue
             if attempt.reservation_id in refused:
-                log.debug("%s/%d: launch refused by the partition's owner", job_id, attempt.index)
+                log.debug("task %s/%d: launch refused by the partition's owner", job_id, attempt.index)
                 self._on_refused(team_state, job, attempt)
             else:
                 attempt.acknowledged_sequence = reply.sequence
--- a/tealhook/scheduling/read_back.py
+++ b/tealhook/scheduling/read_back.py
@@ -37,7 +37,7 @@
     ) -> None:
         """Initialize for the jobs in `teams`.
 
-        Attempts in `proved_absent` are known to be off their machines, even if they are still on record.
+        Attempts in `proved_absent` are no longer on their machines, even if they are still on record.
         """
         self._effects = context.effects
         self._store = store
--- a/tealhook/scheduling/reconciliation.py
+++ b/tealhook/scheduling/reconciliation.py
@@ -46,7 +46,7 @@
         self._attempt_index = attempt_index
 
     def reconcile(self, team_state: TeamState) -> None:
-        """Ask partition owners for missing status updates of a team's machines, and for the time since each heartbeat.
+        """Ask partition owners for missing status updates of a team's machines, and for how long each has been silent.
 
         A status update, a launch or a stop command may be lost; every attempt that no update has shown is therefore
         asked for again.
--- a/tealhook/scheduling/team_limits.py
+++ b/tealhook/scheduling/team_limits.py
@@ -23,7 +23,7 @@
 
 
 def remaining_limit(team: TeamState, count_gpus: bool = True) -> LimitedResources:
-    """Return what a team's limit leaves beside the tasks that are staged or may be on machines.
+    """Return the part of a team's limit that is not taken by tasks that are staged or may be on machines.
 
     Pass `count_gpus=False` where no GPUs are needed: adding up the allocations of all jobs takes time.
     """
