--- a/tealhook/admission/admission.py
+++ b/tealhook/admission/admission.py
@@ -26,7 +26,7 @@
 
 
 class Admission:
-    """Handles the submissions, polls and cancellations of users."""
+    """Handler of the submissions, polls and cancellations of users."""
 
     def __init__(
         self,
@@ -35,7 +35,7 @@
         job_index: JobIndex,
         machine_types: Mapping[str, MachineType],
         progress: Mapping[str, JobProgress],
-        versions: VersionAgreement,
+        version_agreement: VersionAgreement,
     ) -> None:
         """Initialize admission.
 
@@ -48,7 +48,7 @@
         self._cancellations = CancellationHandler(job_index, record_store, reader, responder)
         status_replier = StatusReplier(context, job_index, reader, responder, self._cancellations)
         self._polls = PollHandler(job_index, reader, responder, status_replier)
-        validator = JobValidator(context, machine_types, versions)
+        validator = JobValidator(context, machine_types, version_agreement)
         self._submissions = SubmissionHandler(context, store, job_index, reader, responder, status_replier, validator)
 
     def submit(self, body: bytes, reply: Reply) -> None:
--- a/tealhook/admission/cancellations.py
+++ b/tealhook/admission/cancellations.py
@@ -18,7 +18,7 @@
 
 
 class CancellationHandler:
-    """Cancels jobs by writing their final records."""
+    """Handler of cancellations, which writes the final records of cancelled jobs."""
 
     def __init__(
         self, job_index: JobIndex, record_store: JobRecordStore, reader: JobReader, responder: Responder
--- a/tealhook/admission/job_reader.py
+++ b/tealhook/admission/job_reader.py
@@ -37,7 +37,7 @@
 
 
 class JobReader:
-    """Reads jobs from the job index if it is complete, and otherwise from their records."""
+    """Reader of jobs, from the job index or, if a job may be missing there, from its record."""
 
     def __init__(self, context: NodeContext, job_index: JobIndex, record_store: JobRecordStore) -> None:
         """Initialize a reader that refreshes `job_index` before it is used, and updates it with read records."""
@@ -97,7 +97,7 @@
             self.read(job_id, partial(on_job_read, job_id))
 
     def newest_status(self, job_id: str, result: JobReadResult) -> str | None:
-        """Return the status from the job index, which may have changed since the read, or else from the read.
+        """Return the status from the job index, which may be newer than the read, or else from the read.
 
         Another node may already have told the user that the job is accepted or has ended, and an answer must not
         contradict this. Return None if the read failed, since the job index may be stale then.
--- a/tealhook/admission/polls.py
+++ b/tealhook/admission/polls.py
@@ -16,7 +16,7 @@
 
 
 class PollHandler:
-    """Answers polls of users."""
+    """Handler of polls."""
 
     def __init__(
         self, job_index: JobIndex, reader: JobReader, responder: Responder, status_replier: StatusReplier
--- a/tealhook/admission/responses.py
+++ b/tealhook/admission/responses.py
@@ -15,7 +15,7 @@
 from tealhook.wire.mesh import JobProgress
 from tealhook.wire.users import DisplayedStatus, JobStatus
 
-MAX_QUEUE_WAIT_S = 1.0  # how long a call waits for the state store's rate limit; users wait 5 s for an answer
+MAX_QUEUE_WAIT_S = 1.0  # longest wait of a call for the state store's rate limit; users wait 5 s for an answer
 NO_PROGRESS = JobProgress(0, 0)
 DEFAULT_RETRY_AFTER_S = 1.0
 RECENT_FAILURE_S = MAX_QUEUE_WAIT_S / 4  # the state store counts as unavailable for this long after a failed call
@@ -29,7 +29,7 @@
 
 
 class Responder:
-    """Builds and sends the answers that are common to submissions, polls and cancellations."""
+    """Sender of the answers that are common to submissions, polls and cancellations."""
 
     def __init__(self, context: NodeContext, store: StateClient, progress: Mapping[str, JobProgress]) -> None:
         """Initialize a responder that shows the `progress` of active jobs, which is received by gossip."""
--- a/tealhook/admission/status_replies.py
+++ b/tealhook/admission/status_replies.py
@@ -19,7 +19,7 @@
 
 
 class StatusReplier:
-    """Answers requests with the status of a job."""
+    """Sender of answers with the status of a job."""
 
     def __init__(
         self,
--- a/tealhook/admission/submissions.py
+++ b/tealhook/admission/submissions.py
@@ -35,7 +35,7 @@
 
 
 class SubmissionHandler:
-    """Accepts or refuses submitted jobs."""
+    """Handler of submissions, which accepts or refuses jobs."""
 
     def __init__(
         self,
@@ -104,7 +104,7 @@
         return submission, Refusal(HTTPStatus.BAD_REQUEST, excess) if excess is not None else None
 
     def _accept_after_dependencies(self, submission: Submission, reply: Reply, already_read: set[str]) -> None:
-        """Accept a job if all its dependencies were accepted, and read those that are not in the index."""
+        """Accept a job if all its dependencies were accepted; those that are not in the index are read first."""
         unknown = [
             dependency
             for dependency in submission.spec.depends_on
--- a/tealhook/admission/validation.py
+++ b/tealhook/admission/validation.py
@@ -12,14 +12,14 @@
 
 
 class JobValidator:
-    """Checks whether jobs can run with the existing teams and machine types."""
+    """Validator of jobs against the existing teams and machine types."""
 
     def __init__(
-        self, context: NodeContext, machine_types: Mapping[str, MachineType], versions: VersionAgreement
+        self, context: NodeContext, machine_types: Mapping[str, MachineType], version_agreement: VersionAgreement
     ) -> None:
         """Initialize a validator; `machine_types` is empty until they are known."""
         self._machine_types = machine_types
-        self._versions = versions
+        self._version_agreement = version_agreement
         self._teams = {team.name: team for team in context.settings.params.teams}
 
     def may_accept(self, spec: JobSpec | None) -> bool:
@@ -29,7 +29,7 @@
         """
         if not self._machine_types:
             return False
-        return spec is None or not spec.depends_on or self._versions.all_upgraded
+        return spec is None or not spec.depends_on or self._version_agreement.all_upgraded
 
     def find_infeasibility_reason(self, spec: JobSpec) -> str | None:
         """Return the reason why a job can never run, or None if it can run or the machine types are not known yet."""
--- a/tealhook/api.py
+++ b/tealhook/api.py
@@ -26,7 +26,10 @@
         health_check: HealthCheck,
         forwarder: RequestForwarder,
     ) -> None:
-        """Initialize; `partition_manager` answers workers, and `admission` or, by `forwarder`, a peer answers users."""
+        """Initialize the interface.
+
+        `partition_manager` answers workers. `forwarder` sends users' requests to a peer or leaves them to `admission`.
+        """
         self._partition_manager = partition_manager
         self._admission = admission
         self._health_check = health_check
@@ -53,12 +56,12 @@
             if _has_method(request, "POST", reply):
                 self._admission.submit(request.body, reply)
             return
-        job = path[len(JOB_PATH_PREFIX) :]
-        if job.endswith(CANCEL_SUFFIX):
+        job_id = path[len(JOB_PATH_PREFIX) :]
+        if job_id.endswith(CANCEL_SUFFIX):
             if _has_method(request, "POST", reply):
-                self._admission.cancel(job[: -len(CANCEL_SUFFIX)], reply)
+                self._admission.cancel(job_id[: -len(CANCEL_SUFFIX)], reply)
         elif _has_method(request, "GET", reply):
-            self._admission.answer_poll(job, reply)
+            self._admission.answer_poll(job_id, reply)
 
 
 def _has_method(request: Request, method: str, reply: Reply) -> bool:
--- a/tealhook/context.py
+++ b/tealhook/context.py
@@ -56,7 +56,7 @@
     effects: Effects
     settings: Settings
     policy: PolicyValues
-    incarnation: int  # random id that tells this process from all others of the node
+    incarnation: int  # random id that distinguishes this process from all others of the node
 
     @property
     def node(self) -> str:
--- a/tealhook/controller.py
+++ b/tealhook/controller.py
@@ -35,8 +35,8 @@
         """Build and connect the components of a controller; nothing runs before `start`."""
         self.settings = settings
         self.machine_types: dict[str, MachineType] = {}  # offered types by name; updated by the fleet manager
-        self._progress: dict[str, wire.JobProgress] = {}  # active job -> progress; updated by gossip
-        self._last_read_at: dict[str, float] = {}  # job -> time of the last read of its record by `on_unknown_job`
+        self._progress: dict[str, wire.JobProgress] = {}  # id of an active job -> progress; updated by gossip
+        self._last_read_at: dict[str, float] = {}  # job id -> time of the last read of its record by `on_unknown_job`
         context = self.context = NodeContext(
             effects,
             settings,
@@ -93,7 +93,7 @@
         every(self.context.effects, self.context.workers.report_s / 2, self.gossip_sender.send)
 
     def on_ownership_change(self, key: str, token: int | None) -> None:
-        """Notify the component that a key belongs to of a change of ownership, as the observer of `Ownership`."""
+        """Pass a change of ownership on to the component that the key belongs to, as the observer of `Ownership`."""
         if key == FLEET_KEY:
             self.fleet_manager.on_ownership_change(token)
         elif key.startswith(PARTITION_PREFIX):
@@ -122,15 +122,15 @@
     def _on_machines_released(self, machines: list[str]) -> None:
         self.mesh.broadcast(wire.MachinesReleased(machines))
 
-    def on_unknown_job(self, job: str) -> None:
+    def on_unknown_job(self, job_id: str) -> None:
         """Read the record of a job from the state store, since a worker has a task of it but the job index lacks it."""
         now = self.context.effects.now()
         if (
-            now - self._last_read_at.get(job, LONG_AGO_S) < self.context.workers.lease_s / 8
+            now - self._last_read_at.get(job_id, LONG_AGO_S) < self.context.workers.lease_s / 8
             or not self.job_index.is_synced
         ):
             return
         if len(self._last_read_at) > MAX_RECENT_READS:
             self._last_read_at.clear()
-        self._last_read_at[job] = now
-        self.admission.answer_poll(job, lambda _status, _body=b"{}", _retry_after_s=None: None)
+        self._last_read_at[job_id] = now
+        self.admission.answer_poll(job_id, lambda _status, _body=b"{}", _retry_after_s=None: None)
--- a/tealhook/coordination/key_claimer.py
+++ b/tealhook/coordination/key_claimer.py
@@ -27,7 +27,7 @@
 CLAIM_RETRIES_PER_LEASE = 12  # rate of claims after the state store rejected one
 TEAM_RELEASE_DELAY_LEASES = 0.5  # time without any reachable owner of a partition before teams are released
 MIN_HANDOVER_INTERVAL_LEASES = 0.5
-RELEASE_COOLDOWN_LEASES = 12  # time before this node claims a key again that it released for silent workers
+RELEASE_COOLDOWN_LEASES = 12  # time before this node may reclaim a key that it released for its silent workers
 
 
 class Reachability(Protocol):
@@ -76,7 +76,7 @@
         self._max_claims = MAX_CLAIMS_PER_TRANSACTION  # lowered by rejected claims, raised by committed ones
         self._claim_not_before = LONG_AGO_S  # time of the next attempt after a rejected claim
         self._last_handover_at = LONG_AGO_S
-        self._cooldown_until: dict[str, float] = {}  # released key of silent workers -> earliest time of its next claim
+        self._cooldown_until: dict[str, float] = {}  # key released for its silent workers -> earliest next claim
         self._unreachable_since: float | None = None  # start of the time in which no owner of a partition is reachable
 
     def review(self) -> None:
@@ -142,7 +142,7 @@
         puts = [wire.put(key, value, self._lease.lease_id) for key in keys]
         self._store.transact(conditions, puts, CallPriority.RENEW, on_result)
 
-    # -- failover by network partitions
+    # -- failover on network partitions
 
     def _all_partitions_unreachable(self, now: float) -> bool:
         """Check whether no owner of a partition has been reachable for a while.
--- a/tealhook/coordination/owned_keys.py
+++ b/tealhook/coordination/owned_keys.py
@@ -12,7 +12,7 @@
     """Receiver of changes of the keys that this node owns."""
 
     def on_ownership_change(self, key: str, token: int | None) -> None:
-        """Handle that this node owns `key` under the fencing token `token`, or with None that it no longer does."""
+        """Handle the acquisition of `key` under the fencing token `token`, or its loss if `token` is None."""
         ...
 
 
--- a/tealhook/coordination/ownership.py
+++ b/tealhook/coordination/ownership.py
@@ -1,4 +1,4 @@
-"""Ownership of partitions, teams and the fleet by keys that nodes claim, each under its one lease.
+"""Ownership of partitions, teams and the fleet, by keys that each node claims under its single lease.
 
 The revision of an ownership key at its claim is the owner's fencing token.
 """
--- a/tealhook/coordination/stability.py
+++ b/tealhook/coordination/stability.py
@@ -13,9 +13,9 @@
 class MembershipStability:
     """Recent changes of the set of live nodes, and the time without changes that they require.
 
-    The required time grows with repeated losses of the same node. This guards against flapping: a node that loses the
-    state store repeatedly was given its keys back each time, and each of them changed owners eight times in two
-    minutes, each time with a failover of machines and jobs.
+    The required time grows with repeated losses of the same node. This guards against flapping: without it, a node
+    that lost the state store repeatedly was given its keys back each time, and all of them changed owners eight times
+    in two minutes, each time with a failover of machines and jobs.
     """
 
     def __init__(self, node_lease_ttl_s: float, now: float) -> None:
--- a/tealhook/coordination/version_agreement.py
+++ b/tealhook/coordination/version_agreement.py
@@ -24,7 +24,7 @@
 
 
 class VersionAgreement:
-    """The version record of this node, and whether all controllers have agreed on this version."""
+    """The version record of this node, and the state of the agreement among all controllers."""
 
     def __init__(self, context: NodeContext, store: StateClient) -> None:
         """Initialize without any request; the version record holds the same incarnation as the registration."""
--- a/tealhook/forwarding.py
+++ b/tealhook/forwarding.py
@@ -38,7 +38,7 @@
         self._peers = peers
 
     def forward_or_handle(self, request: Request, reply: Reply, handle: RequestHandler) -> None:
-        """Forward a request to a peer that the state store serves; `handle` it here if there is none, or no reply."""
+        """Forward a request to a peer that the state store serves; `handle` it here if none can take it or replies."""
         peer = self.choose_forwarding_peer()
         if peer is None or not self._is_forwardable(request):
             handle(request, reply)
--- a/tealhook/gossip/fleet_inputs.py
+++ b/tealhook/gossip/fleet_inputs.py
@@ -9,7 +9,7 @@
 from tealhook.fleet.demand import NonSpotDemand
 from tealhook.wire import mesh as wire
 
-# Maximum ages of gossip, in worker leases, up to which its contents are used.
+# Ages of gossip, in worker leases, up to which its contents are used.
 MAX_DEMAND_AGE_LEASES = 4.0
 MAX_MACHINES_AGE_LEASES = 0.5
 
--- a/tealhook/gossip/receiver.py
+++ b/tealhook/gossip/receiver.py
@@ -47,8 +47,8 @@
         for zone, addresses in gossip.addresses.items():
             if zone in partitions:
                 partitions[zone].announce_token(addresses)
-        for job, progress in gossip.progress.items():
-            if job in self._job_index.active:
-                self._progress[job] = progress
+        for job_id, progress in gossip.progress.items():
+            if job_id in self._job_index.active:
+                self._progress[job_id] = progress
         for usage in gossip.usage:
             self._partition_manager.over_guarantee_cpus_by_team[usage.team] = usage.over_guarantee_cpus
--- a/tealhook/gossip/sender.py
+++ b/tealhook/gossip/sender.py
@@ -94,7 +94,7 @@
         return common, detailed
 
     def _scale_fleet(self, now: float) -> None:
-        """Rent and release machines by the gossip of all controllers."""
+        """Rent and release machines on the basis of the gossip of all controllers."""
         snapshot = self._fleet_inputs.snapshot(now)
         self._sources.fleet_manager.scale(
             snapshot.machines, snapshot.usage, snapshot.demand, snapshot.zones, snapshot.non_spot_demand
--- a/tealhook/jobs/assignment_record.py
+++ b/tealhook/jobs/assignment_record.py
@@ -53,7 +53,7 @@
     ranges = _done_ranges(done)
     value = {"q": list(resources), "c": last_attempt_number, "d": ranges, "m": _encode_assignments(attempts)}
     if len(ranges) > 1 and len(encode_json(value)) > max_bytes:
-        # Done tasks that the record does not list only run again after a failover, so the shortest ranges are dropped.
+        # A done task that the record does not list merely runs again after a failover, so the shortest ranges may go.
         ranges.sort(key=lambda r: r[0] - r[1])
         while len(ranges) > 1 and len(encode_json(value)) > max_bytes:
             del ranges[-1 - len(ranges) // 8 :]
--- a/tealhook/jobs/dependency_graph.py
+++ b/tealhook/jobs/dependency_graph.py
@@ -110,7 +110,7 @@
         return any(self._is_cancelled(dependency) for dependency in self._unfinished_dependencies(job_id))
 
     def expected_release_at(self, job_id: str) -> float:
-        """Return the wall-clock time at which a blocked job should be released.
+        """Return the wall-clock time at which a blocked job is expected to be released.
 
         It is computed from the estimated run times of the job's dependencies.
         """
--- a/tealhook/jobs/index.py
+++ b/tealhook/jobs/index.py
@@ -22,7 +22,7 @@
 from tealhook.wire import state as state_wire
 from tealhook.wire.users import PRIORITY_RANK
 
-MIN_ENDED_JOBS = 20_000  # the index keeps at least this many ended jobs to save reads of their records
+MIN_ENDED_JOBS = 20_000  # kept in the index to save reads; the state store keeps the records of all ended jobs
 ENDED_JOB_BYTES = 400  # approximate memory that an ended job takes in the index
 ENDED_JOBS_MEMORY_SHARE = 1 / 8  # of the memory of this process
 WATCHES_PER_LEASE = 10  # number of watch requests during a worker's lease if the state store sends no changes
@@ -47,7 +47,9 @@
         self.is_complete = True
         self.active: dict[str, JobEntry] = {}
         self.ended: OrderedDict[str, EndedJob] = OrderedDict()
-        self._checkpointing_jobs: Counter[int] = Counter()  # priority rank -> active jobs with checkpoints
+        self._checkpointing_jobs: Counter[int] = (
+            Counter()
+        )  # own priority rank -> number of active jobs with checkpoints
         self._early_chunks: dict[str, dict[int, list[str]]] = {}  # chunks that were read before their job's record
         self._dependencies = DependencyGraph(self.active, self.ended, self._notify)
         self._observer: JobObserver | None = None
@@ -97,7 +99,7 @@
 
     @property
     def lowest_checkpointing_priority(self) -> float:
-        """The lowest priority among the active jobs whose tasks save checkpoints; infinite if there are none."""
+        """The lowest own priority among the active jobs whose tasks save checkpoints; infinite if there are none."""
         return min((priority for priority, count in self._checkpointing_jobs.items() if count), default=math.inf)
 
     # -- dependencies
@@ -108,7 +110,7 @@
         return entry is not None and entry.is_blocked
 
     def expected_release_at(self, job_id: str) -> float:
-        """Return the wall-clock time at which a blocked job should be released, by its dependencies' estimates."""
+        """Return the expected wall-clock release time of a blocked job, by its dependencies' estimated run times."""
         return self._dependencies.expected_release_at(job_id)
 
     def unknown_dependencies(self, job_id: str) -> list[str]:
--- a/tealhook/jobs/job.py
+++ b/tealhook/jobs/job.py
@@ -21,7 +21,7 @@
 
 
 class WriteState(enum.Enum):
-    """The state of the writes of a job's record; no write starts while an earlier one may still be executed."""
+    """The state of a job's writes to the state store; none starts while an earlier one may still be executed."""
 
     SETTLED = "settled"  # it is known whether the last write was executed
     PENDING = "pending"  # a write is in flight
@@ -147,11 +147,11 @@
             return
         if current is not None and current.chunk >= 0:
             self.dirty_chunks.add(current.chunk)
-        # A recorded assignment counts until it is proved absent, even if its task is done.
+        # A recorded attempt counts until it is proved absent from its machine, even if its task is done.
         self.attempts[attempt.index] = attempt
 
     def _resolve_duplicate(self, current: Attempt, attempt: Attempt) -> None:
-        """Handle an attempt in a chunk that is outdated, or that another chunk may list too.
+        """Handle a loaded attempt that is outdated, or that another chunk may list too.
 
         If two chunks list attempts of the task, one of them is marked for rewriting.
         """
--- a/tealhook/jobs/job_entry.py
+++ b/tealhook/jobs/job_entry.py
@@ -17,7 +17,7 @@
 
 
 class JobEntry:
-    """An active job by its record, with the values that the dependency graph derives for it."""
+    """An active job as its record describes it, with the values that the dependency graph derives for it."""
 
     __slots__ = (
         "spec",
--- a/tealhook/jobs/record_store.py
+++ b/tealhook/jobs/record_store.py
@@ -32,7 +32,7 @@
 
 
 class JobRecordStore:
-    """Reads and ends jobs through their records in the state store."""
+    """Access to the job records in the state store, to read and to end jobs."""
 
     def __init__(self, context: NodeContext, store: StateClient, job_index: JobIndex) -> None:
         """Initialize access to the records in `store`; `job_index` is updated with what is read and written."""
@@ -41,7 +41,7 @@
         self._job_index = job_index
 
     def build_ended_record(self, team: str, state: JobState) -> JobRecord:
-        """Return the record of a job that ends now; its time is that of its dependents' release."""
+        """Return the final record of a job that ends now; if it is done, its dependents are released at this time."""
         return JobRecord(team, state, status_since=round(self._effects.wall(), 1))
 
     def fetch(
--- a/tealhook/jobs/tasks.py
+++ b/tealhook/jobs/tasks.py
@@ -11,8 +11,8 @@
 from tealhook.wire.mesh import TaskRequirements
 from tealhook.wire.users import JobKind, JobSpec
 
-FAILING_JOB_MIN_FAILURES = 3  # consecutive failures from which on a job runs only one task at a time
-MAX_AVOIDED_MACHINES = 8  # how many of the machines on which its tasks failed last a job avoids
+FAILING_JOB_MIN_FAILURES = 3  # a job with this many consecutive failures runs only one task at a time
+MAX_AVOIDED_MACHINES = 8  # a job avoids this many of the machines on which its tasks failed last
 
 
 class JobTasks:
@@ -56,7 +56,7 @@
 
     @property
     def is_gang(self) -> bool:
-        """True if all tasks of the job have to start together."""
+        """True if the tasks of the job have to start together or not at all."""
         return self.spec is not None and self.spec.kind == JobKind.GANG
 
     def count_waiting(self) -> int:
@@ -116,7 +116,7 @@
             self.done_count += 1
 
     def record_failure(self, machine: str) -> None:
-        """Record that a task failed on a machine, which the job avoids until it has failed on enough others."""
+        """Record that a task failed on a machine, which the job avoids until its tasks have failed on enough others."""
         self.consecutive_failures += 1
         if machine in self.avoided_machines:
             self.avoided_machines.remove(machine)
--- a/tealhook/jobs/team.py
+++ b/tealhook/jobs/team.py
@@ -25,5 +25,8 @@
         self.reserved_for_overdue = [0.0, 0.0]  # CPUs and GPUs within the limits that only overdue jobs may take
 
     def allocated(self, resource: int = 0) -> float:
-        """Return the CPUs (`resource` 0) or GPUs (1) of all staged and assigned tasks."""
+        """Return the CPUs (`resource` 0) or GPUs (1) of all staged and assigned tasks.
+
+        An assigned task counts until it is proved absent from its machine.
+        """
         return sum(job.resources[resource] * (len(job.attempts) + len(job.staged)) for job in self.jobs.values())
--- a/tealhook/mesh/mesh.py
+++ b/tealhook/mesh/mesh.py
@@ -130,8 +130,8 @@
             return
         self._last_message_at[sender] = self._effects.now()
         if envelope.call < wire.NO_REPLY:
-            # A reply carries the negated number of its request, and the incarnation of the process that sent that: it
-            # guards against replies to an earlier process of this node.
+            # A reply carries the negated number of its request and the incarnation of the process that sent the
+            # request. The incarnation guards against replies to an earlier process of this node.
             if envelope.incarnation == self._incarnation:
                 self._finish_call(-envelope.call, envelope.body)
             return
--- a/tealhook/mesh_handler.py
+++ b/tealhook/mesh_handler.py
@@ -1,4 +1,4 @@
-"""Dispatch of messages from other controllers, and from this one to itself, to its components."""
+"""Dispatch of messages from other controllers, and from this one to itself, to the components of this controller."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class MeshHandler:
-    """Dispatcher of each message to the component that handles it."""
+    """Dispatcher that passes each message to the component that handles it."""
 
     def __init__(
         self,
