--- a/tests/combined_faults.py
+++ b/tests/combined_faults.py
@@ -54,7 +54,7 @@
 
 
 def new_owners(cluster: SimulatedCluster, kind: str, since: float) -> list[str]:
-    """Return the nodes that have become owners of such keys since then, in order."""
+    """Return the nodes that became owners of keys of this kind after the time `since`, in order."""
     return [
         node
         for when, key, node in cluster.network.ownership_changes
--- a/tests/dependency_graphs.py
+++ b/tests/dependency_graphs.py
@@ -84,7 +84,7 @@
 
 
 def chain(length: int) -> list[list[int]]:
-    """Return the positions of each job's dependencies, as do the other shapes."""
+    """Return the positions of the dependencies of each job in a chain; the other shapes have the same form."""
     return [[i - 1] if i else [] for i in range(length)]
 
 
--- a/tests/dependency_steps.py
+++ b/tests/dependency_steps.py
@@ -99,7 +99,10 @@
 
 
 def assert_all_cancelled(cluster: SimulatedCluster, jobs: list[str]) -> None:
-    """Run until all jobs have finished; assert that these were cancelled, which the simulation checks to be in time."""
+    """Run until all jobs have finished; assert that these were cancelled before any of their tasks started.
+
+    The rule checker covers the time within which they must be cancelled.
+    """
     run_until_all_finished(cluster)
     assert set(final_statuses(cluster, jobs)) == {"cancelled"}
     assert all(cluster.jobs[job_id].started_at is None for job_id in jobs)
--- a/tests/infrastructure_faults.py
+++ b/tests/infrastructure_faults.py
@@ -38,7 +38,7 @@
 
 
 def crash_owners_repeatedly(cluster: SimulatedCluster, kind: str, times: int, interval_s: float) -> None:
-    """Crash an owner of this kind again and again, each time a current one."""
+    """Crash an owner of this kind repeatedly, each time a current one."""
     for i in range(times):
         cluster.call_later(
             i * interval_s, lambda: cluster.crash(random_owner(cluster, kind), cluster.rng.choice([0.1, 1.0, 4.0]))
@@ -149,7 +149,7 @@
     # -- cloud
 
     def rentals_answered_late(self) -> None:
-        """Let machines come up before their rental is answered; half of the others fail, which causes rentals."""
+        """Let machines come up before their rental is answered; half of those already up fail, which causes rentals."""
         set_temporarily(self.cluster, 2 * self.duration, self.cluster.cloud, "fast_provisioning", True, False)
         set_temporarily(
             self.cluster, 2 * self.duration, self.cluster.cloud, "max_answer_delay_s", self.rng.uniform(1.0, 8.0), 0.0
--- a/tests/operational_faults.py
+++ b/tests/operational_faults.py
@@ -1,4 +1,4 @@
-"""Faults as met in operation: suspended processes, partial cuts, query storms, slow provisioning, failing jobs."""
+"""Faults that occur in operation: suspended processes, partial cuts, query storms, slow provisioning, failing jobs."""
 
 from __future__ import annotations
 
@@ -57,7 +57,7 @@
 
 
 class _OperationalFault(OwnerFault):
-    """Faults as met in operation, with a limited duration."""
+    """Faults of limited duration that occur in operation."""
 
     def suspend_owner(self) -> None:
         """Suspend an owner for 0.5 s, for some seconds, just under a lease of either kind, or well over it."""
@@ -137,7 +137,7 @@
 
 
 def random_operational_fault(cluster: SimulatedCluster) -> None:
-    """Start a random fault as met in operation."""
+    """Start a random operational fault."""
     _OperationalFault.start_random(cluster, 20.0)
 
 
--- a/tests/simulated_cluster.py
+++ b/tests/simulated_cluster.py
@@ -89,7 +89,7 @@
         self.faults_ended_at = float("inf")  # the time since which no fault is active
         self.request_burst_share = 0.0  # share of occasions on which users send a burst of requests
         self.completion_race_share = 0.0  # share of jobs for which a request races the completion of the last task
-        self.racing_requests = ("cancel",)  # the kinds of such requests: cancel, query, resubmit
+        self.racing_requests = ("cancel",)  # kinds of requests that race a completion: cancel, query, resubmit
         self.controllers: dict[str, Any] = {}  # node -> its controller, of the nodes that are up
         self.running_versions: dict[str, Version] = {}  # node -> the version that it was last started with
         # Suspended node -> calls that wait until it is resumed: those of its sockets, those of its timers.
--- a/tests/simulation/effects.py
+++ b/tests/simulation/effects.py
@@ -69,17 +69,17 @@
 
     def state(self, method, target, body, timeout, answer) -> None:
         net = self.cluster.network
-        self._call(timeout, answer, lambda answer_once: net.send_to_state(self.name, method, target, body, answer_once))
+        self._call(timeout, answer, lambda on_response: net.send_to_state(self.name, method, target, body, on_response))
 
     def cloud(self, method, target, body, timeout, answer) -> None:
         net = self.cluster.network
-        self._call(timeout, answer, lambda answer_once: net.send_to_cloud(self.name, method, target, body, answer_once))
+        self._call(timeout, answer, lambda on_response: net.send_to_cloud(self.name, method, target, body, on_response))
 
     def worker(self, addr, method, target, body, timeout, answer) -> None:
         self._call(
             timeout,
             answer,
-            lambda answer_once: self.cluster.network.send_to_worker(self.name, addr, method, target, body, answer_once),
+            lambda on_response: self.cluster.network.send_to_worker(self.name, addr, method, target, body, on_response),
         )
 
     def mesh(self, peer: str, frame: bytes, **_batching: bool) -> None:
--- a/tests/simulation/network.py
+++ b/tests/simulation/network.py
@@ -28,7 +28,9 @@
         self.held_packets: dict[frozenset[str], list[Callable]] = {}  # pair -> packets held until the cut ends
         self.hold_cut_packets = True  # whether cuts hold packets and deliver them in the end, or lose them
         self.max_delay_s = 0.01  # maximum delay of a packet
-        self.state_loss_share = 0.0  # share of requests to the state store that are lost, late or not answered
+        # Share of requests to the state store that are lost, late or not answered.
+        # The share of the cloud's answers that are lost is a third of it.
+        self.state_loss_share = 0.0
         self.state_answer_delay_s = 0.0  # maximum additional delay of answers of the state store
         self.late_write_share = 0.0  # share of transactions that get no answer and are applied 2 to 12 s later
         self.lost_answer_share = 0.0  # share of transactions that are applied at once, but whose answer is lost
--- a/tests/simulation/observer.py
+++ b/tests/simulation/observer.py
@@ -14,7 +14,7 @@
     def publish_status(self, _team: str, update: mesh.StatusUpdate) -> None:
         self.updates.append(update)
 
-    def on_unknown_job(self, job: str) -> None:
+    def on_unknown_job(self, job_id: str) -> None:
         pass
 
     def on_unowned_zone(self, zone: str) -> None:
--- a/tests/simulation/rules.py
+++ b/tests/simulation/rules.py
@@ -15,7 +15,7 @@
     from tests.standins import Worker
 
 RECOVERY_ANSWER_S = 75.0  # once all faults have ended, a query of each accepted job is answered within this time
-ANSWER_TIMEOUT_S = 90.0  # the same during faults, as long as most queries of other jobs are answered
+ANSWER_TIMEOUT_S = 90.0  # limit for such a query during faults, as long as most queries of other jobs are answered
 MAX_WAIT_S = 90.0  # longest time that a job may wait beside free capacity, once all faults have ended
 
 
--- a/tests/standins/state.py
+++ b/tests/standins/state.py
@@ -162,8 +162,8 @@
         """End leases that have expired; during an outage none expires."""
         if self.down:
             return
-        for lease_id, (until, _) in list(self.leases.items()):
-            if until < self.cluster.now:
+        for lease_id, (expires_at, _) in list(self.leases.items()):
+            if expires_at < self.cluster.now:
                 self._end_lease(lease_id)
         self._answer_due_watches()
 
--- a/tests/standins/worker.py
+++ b/tests/standins/worker.py
@@ -136,9 +136,9 @@
             if status == 200:
                 self._apply_response(json.loads(body), sent_at, session)
                 return
-            leader = json.loads(body).get("boss") if status == 421 else None
-            if leader in cluster.node_names and leader != cluster.node_names[self.node]:
-                self.node = cluster.node_names.index(leader)
+            owner = json.loads(body).get("boss") if status == 421 else None
+            if owner in cluster.node_names and owner != cluster.node_names[self.node]:
+                self.node = cluster.node_names.index(owner)
                 cluster.call_later(cluster.rng.uniform(0.0, 0.5), self._send_heartbeat)
             else:
                 self.node = (self.node + 1) % len(cluster.node_names)
