--- a/tests/test_combined_faults_machines.py
+++ b/tests/test_combined_faults_machines.py
@@ -22,7 +22,7 @@
 from tests.simulated_cluster import SimulatedCluster
 from tests.user_requests import UNIFORM_JOB
 
-LATE_SEEDS = (1, 3, 4, 5)
+LONG_DELAY_SEEDS = (1, 3, 4, 5)
 
 
 # -- machines
@@ -30,7 +30,7 @@
 
 @pytest.mark.parametrize("kind", OWNERSHIP_PREFIXES)
 @pytest.mark.parametrize("seed", SEEDS)
-def test_new_machines_start_work_during_slow_writes_and_failover(seed, kind):
+def test_new_machines_start_tasks_despite_slow_writes_and_failover(seed, kind):
     cluster = SimulatedCluster(seed, cpu_limit=48.0)
     cluster.cloud.fast_provisioning, cluster.cloud.max_answer_delay_s = True, 6.0
     cluster.network.state_answer_delay_s, cluster.network.late_write_share = 0.8, 0.2
@@ -39,46 +39,47 @@
     while not busy_machines(cluster):
         cluster.run(0.1)
         assert cluster.now < 40.0
-    young = [machine.name for machine in busy_machines(cluster)]
-    now = cluster.now
+    new_machines = [machine.name for machine in busy_machines(cluster)]
+    crashed_at = cluster.now
     cluster.crash(random_owner(cluster, kind), 12.0)
     cluster.run(6.0)
-    assert any(name in cluster.cloud.machines for name in young)  # they outlive the leader
+    assert any(name in cluster.cloud.machines for name in new_machines)  # they outlive the owner
     assert cluster.network.event_counts["machine up before its rental was answered"] > 0
     cluster.run(20.0)
-    assert new_owners(cluster, kind, now)
+    assert new_owners(cluster, kind, crashed_at)
     recover(cluster)
 
 
 @pytest.mark.parametrize(
-    ("seed", "direct_s"),  # in some runs every hung machine is released before its command comes: not in these
-    [*((seed, (3.0, 12.0)) for seed in SEEDS), *((seed, (20.0, 60.0)) for seed in LATE_SEEDS)],
+    # With long delays some seeds release every hung machine before its command arrives; these seeds do not.
+    ("seed", "command_delay_s"),
+    [*((seed, (3.0, 12.0)) for seed in SEEDS), *((seed, (20.0, 60.0)) for seed in LONG_DELAY_SEEDS)],
 )
-def test_delayed_commands_reach_resumed_machine(seed, direct_s):
-    """Within its lease or past it; the kills of cancelled tasks come late, to it or to what it does next."""
+def test_rules_hold_when_delayed_commands_reach_resumed_machines(seed, command_delay_s):
+    """Machines hang for less or more than a lease, and kills of cancelled tasks arrive late, maybe at other tasks."""
     cluster = busy_cluster(seed, expected_s=30.0, plays=4)
-    cluster.network.command_delay_s, cluster.network.late_command_share = direct_s, 1.0
+    cluster.network.command_delay_s, cluster.network.late_command_share = command_delay_s, 1.0
     for machine in busy_machines(cluster)[::2]:
         hang_machine(cluster, machine, cluster.rng.choice([0.7, 1.5]) * LEASE_S)
     cancel_some_jobs(cluster, share=1.0, within_s=3.0)
     cluster.run(4.0)
     cluster.crash(random_owner(cluster, "partition"), 0.5)
-    cluster.run(8.0 + direct_s[1])
+    cluster.run(8.0 + command_delay_s[1])
     assert cluster.network.event_counts["late command"] > 0
     recover(cluster)
 
 
-@pytest.mark.parametrize("leases", [0.7, 3.0])
+@pytest.mark.parametrize("duration_leases", [0.7, 3.0])
 @pytest.mark.parametrize("seed", SEEDS)
-def test_commands_and_cancellations_during_heartbeat_loss(seed, leases):
+def test_cancellations_hold_during_heartbeat_loss(seed, duration_leases):
     cluster = busy_cluster(seed, expected_s=25.0, plays=4)
-    some = busy_machines(cluster)[::2]
-    block_heartbeats(cluster, some, leases * LEASE_S)
+    blocked = busy_machines(cluster)[::2]
+    block_heartbeats(cluster, blocked, duration_leases * LEASE_S)
     cluster.run(0.3 * LEASE_S)
     cancel_some_jobs(cluster, within_s=2.0)
-    cluster.run(leases * LEASE_S + CANCEL_S)
-    assert cluster.network.event_counts["heartbeat lost"] >= len(some) > 0
-    assert leases < 1.0 or cluster.network.event_counts["lease expired"] > 0
+    cluster.run(duration_leases * LEASE_S + CANCEL_S)
+    assert cluster.network.event_counts["heartbeat lost"] >= len(blocked) > 0
+    assert duration_leases < 1.0 or cluster.network.event_counts["lease expired"] > 0
     recover(cluster)
 
 
@@ -96,21 +97,22 @@
 
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
-def test_duplicate_heartbeats_arrive_at_failover(seed):
+def test_rules_hold_with_duplicate_heartbeats_at_failover(seed):
     cluster = busy_cluster(seed, expected_s=12.0)
     cluster.network.next_owner_copy_share = 0.5
     for _ in range(2):
         cluster.run(12.0)
-        now = cluster.now
+        crashed_at = cluster.now
         cluster.crash(random_owner(cluster, "partition"), 4.0)
         cluster.run(8.0)
-        assert new_owners(cluster, "partition", now)
+        assert new_owners(cluster, "partition", crashed_at)
     assert cluster.network.event_counts["heartbeat copy for the next owner: at its owner"] > 0
     assert cluster.network.event_counts["heartbeat copy for the next owner: after newer ones"] > 0
     recover(cluster)
 
 
 def delayed_heartbeats(seed: int) -> SimulatedCluster:
+    """Crash a partition's owner while some heartbeats are held until the next owner has started a task."""
     cluster = busy_cluster(seed, expected_s=8.0, jobs=30, cpu_limit=24.0)
     set_temporarily(cluster, 14.0, cluster.network, "held_heartbeat_share", 0.3, 0.0)
     cluster.run(12.0)
@@ -121,12 +123,12 @@
 
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
-def test_heartbeat_delayed_until_new_leader_has_acted(seed):
+def test_rules_hold_with_heartbeats_held_until_next_owner_starts_tasks(seed):
     delayed_heartbeats(seed)
 
 
 def late_heartbeats(seed: int) -> SimulatedCluster:
-    """Machines hang for longer than a lease, so that what they held runs elsewhere; then their old reports come."""
+    """Hang machines, some past their lease so that their tasks run elsewhere, and deliver their old heartbeats late."""
     cluster = busy_cluster(seed, expected_s=20.0, plays=4, jobs=20, cpu_limit=24.0)
     set_temporarily(cluster, 60.0, cluster.network, "late_heartbeat_share", 0.5, 0.0)
     for _ in range(3):
@@ -143,5 +145,5 @@
 
 
 @pytest.mark.parametrize("seed", SEEDS)
-def test_late_heartbeats_of_earlier_sessions_and_attempts(seed):
+def test_rules_hold_with_late_heartbeats_of_earlier_sessions_and_attempts(seed):
     late_heartbeats(seed)
--- a/tests/test_combined_faults_network.py
+++ b/tests/test_combined_faults_network.py
@@ -1,4 +1,4 @@
-"""Faults of network and state service, combined with cancellations and failovers; each run asserts both.
+"""Faults of the network and the state store, combined with cancellations and failovers; each run asserts both.
 
 The rules are checked after each step, as in the random runs; after recovery every accepted job must end.
 """
@@ -19,14 +19,14 @@
 from tests.infrastructure_faults import OWNERSHIP_PREFIXES, owners, random_owner, set_temporarily
 from tests.simulated_cluster import SimulatedCluster
 
-# -- cuts
+# -- network partitions
 
 
-@pytest.mark.parametrize("seed, hold", [(1, True), (2, False), (3, True)])
-def test_zone_with_controller_is_partitioned_longer_than_lease(seed, hold):
+@pytest.mark.parametrize("seed, hold_cut_packets", [(1, True), (2, False), (3, True)])
+def test_jobs_finish_after_zone_is_partitioned_longer_than_lease(seed, hold_cut_packets):
     cluster = busy_cluster(seed, expected_s=20.0)
     zone = max(("za", "zb"), key=lambda zone: sum(machine.zone == zone for machine in busy_machines(cluster)))
-    cluster.network.hold_cut_packets = hold
+    cluster.network.hold_cut_packets = hold_cut_packets
     cluster.network.cut_zone(zone, random_owner(cluster, "partition"))
     cluster.run(2.0)
     cancel_some_jobs(cluster, within_s=5.0)
@@ -35,77 +35,78 @@
     recover(cluster)
 
 
-def _cut_leader(seed: int, kind: str) -> SimulatedCluster:
-    """The leader loses state service and peers; all that runs is cancelled through the others."""
+def _cut_owner(seed: int, kind: str) -> SimulatedCluster:
+    """Cut an owner from the state store and its peers, then cancel all running jobs through the other nodes."""
     cluster = busy_cluster(seed, expected_s=60.0, plays=3, jobs=8)
-    leader = random_owner(cluster, kind)
+    owner = random_owner(cluster, kind)
     cluster.network.hold_cut_packets = seed % 2 == 0
-    cluster.network.cut_node(leader)
-    now = cluster.now
-    jobs = cancel_some_jobs(cluster, share=1.0, within_s=8.0)
+    cluster.network.cut_node(owner)
+    cut_at = cluster.now
+    cancelled = cancel_some_jobs(cluster, share=1.0, within_s=8.0)
     cluster.run(1.5 * CANCEL_S)
-    assert cluster.network.event_counts["packet cut off"] > 20 and new_owners(cluster, kind, now)
-    assert leader not in new_owners(cluster, kind, now)
-    assert any(cluster.jobs[job].cancelled_at for job in jobs)
+    assert cluster.network.event_counts["packet cut off"] > 20 and new_owners(cluster, kind, cut_at)
+    assert owner not in new_owners(cluster, kind, cut_at)
+    assert any(cluster.jobs[job_id].cancelled_at for job_id in cancelled)
     return recover(cluster)
 
 
 @pytest.mark.parametrize("kind", OWNERSHIP_PREFIXES)
 @pytest.mark.parametrize("seed", SEEDS)
-def test_cancellation_while_leader_reaches_only_workers_and_users(seed, kind):
-    _cut_leader(seed, kind)
+def test_cancellations_hold_while_owner_reaches_only_workers_and_users(seed, kind):
+    _cut_owner(seed, kind)
 
 
-# -- the state service
+# -- the state store
 
 
-def _busy_with_state_fault(seed: int, share: str) -> SimulatedCluster:
-    """Half of the transactions meet a fault, which is named by its share, while some jobs are cancelled."""
+def _busy_with_state_fault(seed: int, fault_share: str) -> SimulatedCluster:
+    """Cancel some jobs while half of the transactions meet a fault; `fault_share` is the network's setting for it."""
     cluster = busy_cluster(seed, jobs=24)
-    set_temporarily(cluster, 40.0, cluster.network, share, 0.5, 0.0)
+    set_temporarily(cluster, 40.0, cluster.network, fault_share, 0.5, 0.0)
     cancel_some_repeatedly(cluster, 4, 8.0)
     cluster.run(60.0)
     return cluster
 
 
 def late_writes(seed: int) -> SimulatedCluster:
+    """Let half of the transactions get no answer and apply seconds later, some of them after newer ones."""
     cluster = _busy_with_state_fault(seed, "late_write_share")
     assert cluster.network.event_counts["late write after newer ones"] > 0
     return recover(cluster)
 
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
-def test_unacknowledged_transactions_apply_after_newer_ones(seed):
+def test_rules_hold_when_unanswered_transactions_apply_after_newer_ones(seed):
     late_writes(seed)
 
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
-def test_unacknowledged_writes_are_read_by_other_nodes(seed):
+def test_rules_hold_when_unanswered_writes_are_read_by_other_nodes(seed):
     cluster = _busy_with_state_fault(seed, "lost_answer_share")
     assert cluster.network.event_counts["unanswered write read by another"] > 0
     recover(cluster)
 
 
 @pytest.mark.parametrize("kind", OWNERSHIP_PREFIXES)
-def test_state_service_refuses_leader_then_fails_for_all(kind):
-    """Slow before; jobs are cancelled at the very moment of the refusal."""
+def test_cancellations_hold_when_state_store_refuses_owner_then_fails_for_all(kind):
+    """The state store answers slowly before, and jobs are cancelled just as it begins to refuse the owner."""
     cluster = busy_cluster(4, expected_s=50.0, plays=3, jobs=8)
     set_temporarily(cluster, 10.0, cluster.network, "state_answer_delay_s", 1.5, 0.0)
     cluster.run(4.0)
-    now, leader = cluster.now, random_owner(cluster, kind)
-    cluster.state.refused_nodes = {leader}
+    refused_at, owner = cluster.now, random_owner(cluster, kind)
+    cluster.state.refused_nodes = {owner}
     cancel_some_jobs(cluster, share=1.0, within_s=0.1)
     if kind == "team":
         cluster.run(1.0)
-    else:  # long enough for the leader's lease to end and another node to take over
-        while not new_owners(cluster, kind, now):
+    else:  # until the owner's lease has expired and another node has taken over
+        while not new_owners(cluster, kind, refused_at):
             cluster.run(0.5)
-            assert cluster.now < now + 15.0
+            assert cluster.now < refused_at + 15.0
     cluster.state.set_down(True)
     cluster.run(1.2 * CANCEL_S)
     assert cluster.network.event_counts["slow answer of the state store"] > 0
-    assert (leader in owners(cluster, kind)) == (kind == "team")
-    assert bool(new_owners(cluster, kind, now)) == (kind != "team")
+    assert (owner in owners(cluster, kind)) == (kind == "team")
+    assert bool(new_owners(cluster, kind, refused_at)) == (kind != "team")
     cluster.state.set_down(False)
     cluster.run(5.0)
     recover(cluster)
--- a/tests/test_combined_faults_runs.py
+++ b/tests/test_combined_faults_runs.py
@@ -1,11 +1,11 @@
-"""Seeded random runs that combine faults of network, state service, machines, controllers and users."""
+"""Seeded random runs that combine faults of network, state store, machines, controllers and users."""
 
 import pytest
 
 from tests.fault_coverage import FaultCoverage
 from tests.infrastructure_faults import combined_faults_run
 
-# Each must have occurred in some run; the directed tests assert them one by one.
+# Events that must occur in at least one run; other tests provoke and assert each of them.
 REQUIRED_EVENTS = (
     "packet cut off",
     "heartbeat lost",
@@ -21,7 +21,7 @@
 
 
 @pytest.mark.parametrize("seed", range(10))
-def test_rules_hold_in_combined_faults(seed):
+def test_rules_hold_during_combined_faults(seed):
     cluster = combined_faults_run(seed)
     COVERAGE.record(cluster.network.event_counts)
     assert cluster.network.event_counts["lease expired"] + cluster.network.event_counts["packet cut off"] > 0
@@ -30,13 +30,13 @@
 
 
 @pytest.mark.parametrize("seed", [10, 11])
-def test_rules_hold_in_combined_faults_with_guarantees(seed):
+def test_rules_hold_during_combined_faults_with_guarantees(seed):
     cluster = combined_faults_run(seed, cpu_guarantee=8.0, infrastructure_share=0.8)
     COVERAGE.record(cluster.network.event_counts)
     assert cluster.unfinished_jobs() == []
     assert cluster.task_starts > 0
 
 
-def test_every_fault_occurred():
-    """Guards against runs that prove nothing; run alone, or by another process, it makes some runs itself."""
+def test_every_required_event_occurs():
+    """Guards against runs without the faults they are meant to have; starts runs itself if none were recorded."""
     COVERAGE.assert_complete(range(12))
--- a/tests/test_combined_faults_users.py
+++ b/tests/test_combined_faults_users.py
@@ -9,7 +9,7 @@
 from tests import user_requests
 from tests.infrastructure_faults import assert_all_finished
 from tests.simulated_cluster import RuleViolationError, SimulatedCluster
-from tests.test_guards import _answer_from_memory
+from tests.test_guards import _answer_polls_from_index
 from tests.user_requests import UNCONSTRAINED_JOB
 
 SEEDS = range(3)
@@ -25,7 +25,7 @@
     cluster.run(15.0)
     for i in range(14):
         cluster.call_later(2.0 * i, lambda: cluster.submit(plays=2, vcpus=1.0, expected_s=3.0, **UNCONSTRAINED_JOB))
-    cluster.call_later(3.0, lambda: [cluster.cancel(job) for job in list(cluster.jobs)[:1]])
+    cluster.call_later(3.0, lambda: [cluster.cancel(job_id) for job_id in list(cluster.jobs)[:1]])
     cluster.run(110.0)
     return cluster
 
@@ -35,19 +35,19 @@
     cluster = _request_bursts(seed)
     assert_all_finished(cluster)
     for occasion in ("accepted", "ended", "done", "cancelled", "with a cancellation"):
-        name = "request burst with a cancellation" if occasion.startswith("with") else f"request burst: {occasion}"
-        assert cluster.event_counts[name] > 0, name
+        event = "request burst with a cancellation" if occasion.startswith("with") else f"request burst: {occasion}"
+        assert cluster.event_counts[event] > 0, event
     assert cluster.event_counts["request burst: accepted"] == 14
 
 
-def test_answering_from_memory_violates_status_order(monkeypatch):
-    _answer_from_memory(monkeypatch)
+def test_answering_polls_from_index_violates_status_order(monkeypatch):
+    _answer_polls_from_index(monkeypatch)
     with pytest.raises(RuleViolationError, match="went_back"):
         for seed in SEEDS:
             _request_bursts(seed)
 
 
-# -- the end of a job's last task
+# -- requests that race the completion of a job's last task
 
 
 def _completion_races(seed: int, kind: str) -> SimulatedCluster:
@@ -64,37 +64,37 @@
 
 @pytest.mark.parametrize("kind", ["cancel", "query", "resubmit"])
 @pytest.mark.parametrize("seed", SEEDS)
-def test_request_races_completion_of_last_task(seed, kind):
+def test_requests_racing_completion_of_last_task_get_consistent_answers(seed, kind):
     cluster = _completion_races(seed, kind)
     assert_all_finished(cluster)
     assert cluster.event_counts[f"{kind} at the end"] >= 25
-    finals = [job.final_status for job in cluster.jobs.values()]
+    final_statuses = [job.final_status for job in cluster.jobs.values()]
     if kind == "cancel":
-        assert "cancelled" in finals and "done" in finals
+        assert "cancelled" in final_statuses and "done" in final_statuses
     else:
-        assert set(finals) == {"done"}
+        assert set(final_statuses) == {"done"}
     assert cluster.late_starts == []
 
 
-# -- one-task jobs, four a second
+# -- a stream of four single-task jobs per second
 
 
 @pytest.mark.parametrize("seed", [0, 1])
-def test_stream_of_single_task_jobs_on_small_write_budget(seed):
+def test_stream_of_single_task_jobs_finishes_on_small_write_budget(seed):
     cluster = SimulatedCluster(seed, write_rps=30.0, cpu_limit=48.0)
     cluster.cloud.capacity_per_pool = 4
     cluster.run(20.0)
-    ids = user_requests.submit_stream(cluster, 120.0)
+    job_ids = user_requests.submit_stream(cluster, 120.0)
     cluster.run(150.0)
     assert_all_finished(cluster)
-    assert len(ids) == cluster.event_counts["job of a stream"] == 480
+    assert len(job_ids) == cluster.event_counts["job of a stream"] == 480
     assert 80 < cluster.event_counts["cancelled job of a stream"] < 160
     assert set(cluster.controllers) == set(cluster.node_names) and max(cluster.incarnations.values()) == len(
         cluster.node_names
     )
-    took = sorted(cluster.jobs[job].answered_at - cluster.jobs[job].submitted_at for job in ids)
-    assert took[len(took) * 9 // 10] < 1.0 and took[-1] < 10.0
-    assert max(cluster.jobs[job].longest_unanswered_s for job in ids) < 20.0
+    answer_times_s = sorted(cluster.jobs[job_id].answered_at - cluster.jobs[job_id].submitted_at for job_id in job_ids)
+    assert answer_times_s[len(answer_times_s) * 9 // 10] < 1.0 and answer_times_s[-1] < 10.0
+    assert max(cluster.jobs[job_id].longest_unanswered_s for job_id in job_ids) < 20.0
 
 
 # -- invalid and other unusual requests
@@ -108,35 +108,35 @@
     cluster.call_later(5.0, lambda: user_requests.send_edge_case_requests(cluster, 150, 40.0))
     cluster.run(80.0)
     assert_all_finished(cluster)
-    for name in (
+    for event in (
         "refused as 400",
         "refused as 422",
         "unknown id",
         "unfinished job resubmitted",
         "cancellation of a done job",
     ):
-        assert cluster.event_counts[name] >= 10, name
+        assert cluster.event_counts[event] >= 10, event
     assert {job.final_status for job in cluster.jobs.values()} == {"done"}
 
 
-NULLABLE = {"rigs", "yard", "due_s"}
+NULLABLE_FIELDS = {"rigs", "yard", "due_s"}
 
 
-@pytest.mark.parametrize("field", sorted(SimulatedCluster(0).random_spec("req-000000").keys() - NULLABLE))
-@pytest.mark.parametrize("null", [False, True], ids=["absent", "null"])
-def test_submission_with_missing_field_is_rejected(field, null):
-    """By the protocol only a field that may be null may be omitted."""
+@pytest.mark.parametrize("field", sorted(SimulatedCluster(0).random_spec("req-000000").keys() - NULLABLE_FIELDS))
+@pytest.mark.parametrize("is_null", [False, True], ids=["absent", "null"])
+def test_submission_with_missing_field_is_rejected(field, is_null):
+    """By the protocol only fields that may be null may be omitted."""
     cluster = SimulatedCluster(7, nodes=1)
     cluster.run(10.0)
     spec = cluster.random_spec("req-lacking")
     assert field in spec
-    if null:
+    if is_null:
         spec[field] = None
     else:
         del spec[field]
     statuses = []
     cluster.send_request(
-        "POST", "/work", json.dumps(spec).encode(), lambda status, data, asked: statuses.append(status)
+        "POST", "/work", json.dumps(spec).encode(), lambda status, data, _sent_at: statuses.append(status)
     )
     cluster.run(5.0)
     assert statuses == [400]
--- a/tests/test_dependency_runs.py
+++ b/tests/test_dependency_runs.py
@@ -14,11 +14,11 @@
 SEEDS = range(8)
 
 
-def dependency_run(
-    seed: int, seconds: float = 150.0, pipelines: int = 8, jobs: int = 8, infrastructure_share: float = 0.5, **over
+def random_dependency_run(
+    seed: int, seconds: float = 150.0, pipelines: int = 8, jobs: int = 8, infrastructure_share: float = 0.5, **overrides
 ) -> SimulatedCluster:
-    """Pipelines, other jobs and faults of all kinds at random times; then recovery, in which all must end."""
-    cluster = SimulatedCluster(seed, **over)
+    """Run pipelines, other jobs and all kinds of faults at random times, then end the faults and let jobs finish."""
+    cluster = SimulatedCluster(seed, **overrides)
     cluster.call_at_random_times(jobs, 0.0, 0.7 * seconds, cluster.submit)
     cluster.call_at_random_times(
         pipelines, 5.0, 0.6 * seconds, lambda: dependency_graphs.submit_random_pipeline(cluster)
@@ -32,8 +32,8 @@
     return cluster
 
 
-def quiet_run(seed: int) -> SimulatedCluster:
-    """Pipelines without any fault."""
+def faultless_run(seed: int) -> SimulatedCluster:
+    """Run pipelines without faults."""
     cluster = SimulatedCluster(seed, cpu_limit=48.0)
     cluster.cloud.capacity_per_pool = 4
     for i in range(12):
@@ -43,33 +43,33 @@
     return cluster
 
 
-def counts(runs: list[SimulatedCluster]) -> Counter[str]:
+def total_event_counts(runs: list[SimulatedCluster]) -> Counter[str]:
     return sum((cluster.event_counts for cluster in runs), Counter())
 
 
 @pytest.mark.parametrize("seed", range(2))
 def test_pipelines_finish_without_faults(seed):
-    cluster = quiet_run(seed)
+    cluster = faultless_run(seed)
     assert cluster.unfinished_jobs() == []
     assert cluster.event_counts["pipeline"] == 12
     assert cluster.event_counts["dependent job started"] > 12
 
 
 @functools.cache
-def _run(seed: int) -> SimulatedCluster:
-    return dependency_run(seed)
+def _cached_run(seed: int) -> SimulatedCluster:
+    return random_dependency_run(seed)
 
 
 @pytest.mark.parametrize("seed", SEEDS)
-def test_order_and_cancellations_hold_in_random_faults(seed):
-    cluster = _run(seed)
+def test_order_and_cancellations_hold_during_random_faults(seed):
+    cluster = _cached_run(seed)
     assert cluster.unfinished_jobs() == []
     assert cluster.event_counts["pipeline"] == 8
     assert cluster.event_counts["dependent job started"] > 0
 
 
-def test_runs_covered_dependency_events():
-    event_counts = counts([_run(seed) for seed in SEEDS])
+def test_every_dependency_event_occurs():
+    event_counts = total_event_counts([_cached_run(seed) for seed in SEEDS])
     assert event_counts["dependent job started"] > 40
     assert event_counts["cancelled with a dependency"] > 5
     for name in (
--- a/tests/test_operational_faults_runs.py
+++ b/tests/test_operational_faults_runs.py
@@ -19,14 +19,14 @@
 
 
 @pytest.mark.parametrize("seed", SEEDS)
-def test_rules_hold_in_operational_faults(seed):
+def test_rules_hold_during_operational_faults(seed):
     cluster = operational_faults_run(seed)
     COVERAGE.record(cluster.event_counts)
     assert cluster.unfinished_jobs() == []
     assert cluster.task_starts > 0
 
 
-def test_every_operational_fault_occurred():
-    """Guards against runs that prove nothing; run alone, or by another process, it makes some runs itself."""
+def test_every_required_event_occurs():
+    """Guards against runs without the faults they are meant to have; starts runs itself if none were recorded."""
     COVERAGE.assert_complete(SEEDS)
     assert any(name.startswith("cut from") for name in COVERAGE.event_counts)
--- a/tests/test_stale_cancellation_view.py
+++ b/tests/test_stale_cancellation_view.py
@@ -1,7 +1,7 @@
-"""Cancellations confirmed elsewhere while the leader alone is refused by the state service, then an outage for all.
+"""Cancellations confirmed elsewhere while the state store refuses the owner alone, followed by an outage for all.
 
-The leader can't learn of them for longer than `cancel_s`, and its workers go on reporting to it. Only that it stops
-answering in time, and their leases, end those tasks.
+For longer than `cancel_s` the owner can't learn of them while its workers go on reporting to it. The cancelled tasks
+end in time only because the owner stops answering and the workers' leases expire.
 """
 
 from collections import Counter
@@ -13,56 +13,62 @@
 from tealhook.wire import mesh
 from tealhook.wire import workers as wire
 from tests.simulated_cluster import RuleViolationError, SimulatedCluster, SimulatedEffects
-from tests.test_guards import _answer_forever
+from tests.test_guards import _answer_despite_stale_view
 from tests.user_requests import UNIFORM_JOB
 
-DRIFTS = (1.0, 1.0005)  # of a steady clock, by the protocol
+CLOCK_RATES = (1.0, 1.0005)  # rates of a monotonic clock that the protocol allows
 
 
-def _leader(cluster: SimulatedCluster) -> str:
-    """The node with most machines in its partitions."""
+def _owner_of_most_machines(cluster: SimulatedCluster) -> str:
+    """Return the node with the most machines in its partitions."""
     return max(
         cluster.controllers,
-        key=lambda name: sum(len(p.machines) for p in cluster.controllers[name].partition_manager.partitions.values()),
+        key=lambda name: sum(
+            len(partition.machines) for partition in cluster.controllers[name].partition_manager.partitions.values()
+        ),
     )
 
 
-def _count_answers(monkeypatch: pytest.MonkeyPatch) -> Counter:
-    """Answers given with 200 by way of another node, and those that had been held open."""
+def _count_heartbeat_answers(monkeypatch: pytest.MonkeyPatch) -> Counter:
+    """Count heartbeats that are answered with 200 through another node, and those held open; return the counter."""
     counts: Counter = Counter()
-    whole_report, whole_flush = PartitionManager.on_heartbeat, PartitionManager.answer_now
+    on_heartbeat, answer_now = PartitionManager.on_heartbeat, PartitionManager.answer_now
 
-    def report(self, body, reply, *, relayed=False):
-        def counted(status, data):
+    def count_relayed(self, body, reply, *, relayed=False):
+        def reply_counted(status, data):
             counts["relayed"] += relayed and status == 200
             reply(status, data)
 
-        whole_report(self, body, counted, relayed=relayed)
+        on_heartbeat(self, body, reply_counted, relayed=relayed)
 
-    def flush(self, name):
-        held = whole_flush(self, name)
-        counts["held open"] += held
-        return held
+    def count_held_open(self, machine):
+        was_open = answer_now(self, machine)
+        counts["held open"] += was_open
+        return was_open
 
-    monkeypatch.setattr(PartitionManager, "on_heartbeat", report)
-    monkeypatch.setattr(PartitionManager, "answer_now", flush)
+    monkeypatch.setattr(PartitionManager, "on_heartbeat", count_relayed)
+    monkeypatch.setattr(PartitionManager, "answer_now", count_held_open)
     return counts
 
 
-def _outage_gaps(
-    seed: int, monkeypatch: pytest.MonkeyPatch, **over: float
+def _cancel_before_two_outages(
+    seed: int, monkeypatch: pytest.MonkeyPatch, **overrides: float
 ) -> tuple[SimulatedCluster, list[str], Counter]:
-    """Two gaps in one run; the ids of the jobs cancelled in them while the leader was refused; answers in gaps."""
-    counts = _count_answers(monkeypatch)
-    leader_drift, worker_drift = DRIFTS[seed % 2], DRIFTS[seed // 2 % 2]
-    whole = SimulatedEffects.__init__
+    """Cancel jobs while the state store refuses an owner, then let it fail for all nodes; do so twice in one run.
+
+    Return the cluster, the ids of the jobs whose cancellation was confirmed while the owner was refused, and counts of
+    answered heartbeats and of hung machines.
+    """
+    counts = _count_heartbeat_answers(monkeypatch)
+    owner_clock_rate, worker_clock_rate = CLOCK_RATES[seed % 2], CLOCK_RATES[seed // 2 % 2]
+    original_init = SimulatedEffects.__init__
 
     def init(self, *args) -> None:
-        whole(self, *args)
-        self.clock_rate = leader_drift
+        original_init(self, *args)
+        self.clock_rate = owner_clock_rate
 
     monkeypatch.setattr(SimulatedEffects, "__init__", init)
-    cluster = SimulatedCluster(seed, cpu_limit=96.0, write_rps=60.0, **over)
+    cluster = SimulatedCluster(seed, cpu_limit=96.0, write_rps=60.0, **overrides)
     cluster.cloud.capacity_per_pool = 4
     for _ in range(8):
         cluster.submit(plays=6, expected_s=300.0, **UNIFORM_JOB)
@@ -70,28 +76,33 @@
     cancel_s = cluster.settings.params.workers.cancel_s
     cancelled: list[str] = []
     for _ in range(2):
-        leader = _leader(cluster)
+        owner = _owner_of_most_machines(cluster)
         for worker in cluster.cloud.machines.values():
-            worker.clock_rate = worker_drift
-        # Some workers reach the leader by way of others only, so that their reports are relayed; one machine hangs.
-        machines = [
+            worker.clock_rate = worker_clock_rate
+        # A third of the workers reach the owner only through other nodes, which relay their heartbeats.
+        machine_names = [
             name
-            for partition in cluster.controllers[leader].partition_manager.partitions.values()
+            for partition in cluster.controllers[owner].partition_manager.partitions.values()
             for name in partition.machines
         ]
-        for name in machines[::3]:
-            cluster.network.cut(leader, name)
+        for name in machine_names[::3]:
+            cluster.network.cut(owner, name)
         cluster.run(6.0)
-        cluster.state.refused_nodes = {leader}
-        running = {play.rpartition("/")[0] for w in cluster.cloud.machines.values() for play, _ in w.started_tasks()}
+        cluster.state.refused_nodes = {owner}
+        running = {
+            task_id.rpartition("/")[0]
+            for candidate in cluster.cloud.machines.values()
+            for task_id, _ in candidate.started_tasks()
+        }
         chosen = sorted(running - set(cancelled))[:3]
-        for job in chosen:
-            cluster.call_later(cluster.rng.uniform(0.0, 0.7), lambda job=job: cluster.cancel(job))
+        for job_id in chosen:
+            cluster.call_later(cluster.rng.uniform(0.0, 0.7), lambda job_id=job_id: cluster.cancel(job_id))
         cluster.run(1.6)
-        confirmed = [job for job in chosen if cluster.jobs[job].cancelled_at is not None]
+        confirmed = [job_id for job_id in chosen if cluster.jobs[job_id].cancelled_at is not None]
         cancelled += confirmed
         cluster.state.set_down(True)
-        hung = [w for w in cluster.cloud.machines.values() if w.started_tasks()][:1]
+        # One machine hangs for half a lease.
+        hung = [candidate for candidate in cluster.cloud.machines.values() if candidate.started_tasks()][:1]
         for worker in hung:
             worker.hung = True
             counts["hung"] += 1
@@ -109,28 +120,32 @@
 
 
 @pytest.mark.parametrize("seed", range(8))
-def test_tasks_cancelled_during_outage_gap_stop_in_time(seed, monkeypatch):
-    cluster, cancelled, counts = _outage_gaps(seed, monkeypatch)
+def test_tasks_cancelled_just_before_outage_stop_in_time(seed, monkeypatch):
+    cluster, cancelled, counts = _cancel_before_two_outages(seed, monkeypatch)
     assert len(cancelled) >= 2
     assert all(counts[kind] for kind in ("relayed", "held open", "hung")), counts
-    on = {play.rpartition("/")[0] for w in cluster.cloud.machines.values() for play, _ in w.started_tasks()}
-    assert not on & set(cancelled)
+    running_jobs = {
+        task_id.rpartition("/")[0]
+        for machine in cluster.cloud.machines.values()
+        for task_id, _ in machine.started_tasks()
+    }
+    assert not running_jobs & set(cancelled)
 
 
-def test_leader_answering_through_outage_gap_violates_cancellation_deadline(monkeypatch):
-    _answer_forever(monkeypatch)
+def test_owner_answering_during_outage_violates_cancellation_deadline(monkeypatch):
+    _answer_despite_stale_view(monkeypatch)
     with pytest.raises(RuleViolationError, match="ran_cancelled"):
-        _outage_gaps(0, monkeypatch)
+        _cancel_before_two_outages(0, monkeypatch)
 
 
 def test_no_start_commands_on_stale_cancellation_view():
-    """Other owners still send it tasks to start; a node without the state service for a lease starts none."""
+    """A node without the state store for a lease starts no tasks, although other owners still send it some."""
     cluster = SimulatedCluster(2)
     cluster.submit(plays=2, expected_s=200.0, **UNIFORM_JOB)
     cluster.run(30.0)
-    node = cluster.controllers[_leader(cluster)]
-    partition = max(node.partition_manager.partitions.values(), key=lambda partition: len(partition.machines))
-    slot = partition.reserve(
+    controller = cluster.controllers[_owner_of_most_machines(cluster)]
+    partition = max(controller.partition_manager.partitions.values(), key=lambda partition: len(partition.machines))
+    grant = partition.reserve(
         mesh.ReserveRequest(
             partition.zone,
             [
@@ -149,36 +164,36 @@
             ],
         )
     ).grants[0][0]
-    machine = partition.machines[slot.machine]
+    machine = partition.machines[grant.machine]
     partition.launch(
         mesh.LaunchRequest(
-            partition.zone, partition.token, "team-0", 10**9, [mesh.TaskStart(slot.reservation_id, "req-x", 0, 1)]
+            partition.zone, partition.token, "team-0", 10**9, [mesh.TaskStart(grant.reservation_id, "req-x", 0, 1)]
         )
     )
 
-    def launches() -> int:
+    def count_start_commands() -> int:
         return sum(
             command.action == wire.CommandAction.START for command in partition.commands.collect_commands(machine)
         )
 
-    assert launches() == 1
-    viewed_at, node.job_index.watcher.viewed_at = (
-        node.job_index.watcher.viewed_at,
-        node.context.effects.now() - 1.1 * node.ownership.lease_ttl_s,
+    assert count_start_commands() == 1
+    viewed_at, controller.job_index.watcher.viewed_at = (
+        controller.job_index.watcher.viewed_at,
+        controller.context.effects.now() - 1.1 * controller.ownership.lease_ttl_s,
     )
-    assert launches() == 0
-    node.job_index.watcher.viewed_at = viewed_at
-    assert launches() == 1
+    assert count_start_commands() == 0
+    controller.job_index.watcher.viewed_at = viewed_at
+    assert count_start_commands() == 1
 
 
 @pytest.mark.parametrize(("report_s", "lease_s", "cancel_s"), [(1.0, 9.0, 30.0), (1.0, 11.0, 36.0), (3.0, 21.0, 46.0)])
 def test_view_age_plus_worker_lease_fits_cancellation_deadline(report_s, lease_s, cancel_s):
-    """With the worst of each figure: a report sent just before its answer, and nothing said to its worker since."""
+    """In the worst case a heartbeat is sent just before it is answered on the oldest view allowed, and is the last."""
     cluster = SimulatedCluster(1, nodes=1, report_s=report_s, lease_s=lease_s, cancel_s=cancel_s)
     manager = cluster.controllers["n0"].partition_manager
-    view_s = (
-        manager._max_view_age_s * max(DRIFTS) / min(DRIFTS)
-    )  # the oldest view on which an answer is given, in true time
-    worker_s = lease_s * max(DRIFTS) / min(DRIFTS) + 0.1  # a worker's lease by the slowest clock, and its own lateness
-    assert max(DRIFTS) / min(DRIFTS) <= MAX_CLOCK_DRIFT_RATIO
-    assert 0 < view_s + worker_s <= cancel_s
+    # Age in real time of the oldest view on which a heartbeat is answered.
+    max_view_age_s = manager._max_view_age_s * max(CLOCK_RATES) / min(CLOCK_RATES)
+    # A worker's lease by the slowest clock, and the delay until the worker notices that it has expired.
+    max_worker_lease_s = lease_s * max(CLOCK_RATES) / min(CLOCK_RATES) + 0.1
+    assert max(CLOCK_RATES) / min(CLOCK_RATES) <= MAX_CLOCK_DRIFT_RATIO
+    assert 0 < max_view_age_s + max_worker_lease_s <= cancel_s
