--- a/tealhook/cli.py
+++ b/tealhook/cli.py
@@ -86,7 +86,7 @@
         print(f"tealhook: {exc}", file=sys.stderr)
         return EXIT_USAGE
     if args.command == "check":
-        limits = settings.params.state.least
+        limits = settings.params.state.strictest
         print(
             f"ok; written to the state service: {limits.write_rps:g} changes/s, {limits.value_kb:g} KiB a value, "
             f"{limits.txn_ops} changes a transaction"
--- a/tealhook/context.py
+++ b/tealhook/context.py
@@ -7,7 +7,7 @@
 
 from tealhook.loop.effects import Effects
 from tealhook.settings import Policy, Settings
-from tealhook.settings.platform import Workers
+from tealhook.settings.platform import WorkerTimings
 from tealhook.wire.cloud import MachineType
 
 BEGIN_S = 240.0  # the users' rule: every job begins within four minutes
@@ -25,7 +25,7 @@
 
     def value(self, rule: str, variables: Mapping[str, float] | None = None) -> float:
         """The present value of a rule, over `variables` where the caller knows more than `self.variables()`."""
-        return self._policy.value(rule, variables if variables is not None else self.variables())
+        return self._policy.evaluate(rule, variables if variables is not None else self.variables())
 
     @property
     def boot_s(self) -> float:
@@ -64,6 +64,6 @@
         return self.settings.node
 
     @property
-    def workers(self) -> Workers:
+    def workers(self) -> WorkerTimings:
         """Heartbeat period, lease and cancellation bound of the workers."""
         return self.settings.params.workers
--- a/tealhook/fleet/demand.py
+++ b/tealhook/fleet/demand.py
@@ -58,7 +58,7 @@
 
     def __init__(self, settings: Settings, boot_s: float) -> None:
         """Initialize with the boot time of a machine, `boot_s`."""
-        self._objective_s = {job_class: within_s[0] for job_class, within_s in settings.done_within().items()}
+        self._objective_s = {job_class: within_s[0] for job_class, within_s in settings.completion_objectives().items()}
         self._boot_s = boot_s
 
     def seconds(self, job_class: str, urgent: bool, late: bool = False) -> float:
--- a/tealhook/partitions/preemption.py
+++ b/tealhook/partitions/preemption.py
@@ -41,7 +41,7 @@
         """Initialize the planner; the usage beyond guarantees is what the team schedulers report."""
         self._effects = state.context.effects
         self._workers = state.context.workers
-        self._done_within = state.context.settings.done_within()
+        self._done_within = state.context.settings.completion_objectives()
         self._job_index = state.job_index
         self._over_guarantee_cpus_by_team = state.over_guarantee_cpus_by_team
 
--- a/tealhook/scheduling/candidates.py
+++ b/tealhook/scheduling/candidates.py
@@ -116,7 +116,7 @@
         self._job_index = job_index
         self._policy = context.policy
         self._teams = teams
-        self._done_within = context.settings.done_within()
+        self._done_within = context.settings.completion_objectives()
         self._lease_s = context.workers.lease_s
         objectives = context.settings.params.objectives
         self._guarantee_s = min(
--- a/tealhook/settings/platform.py
+++ b/tealhook/settings/platform.py
@@ -31,7 +31,7 @@
     domain: str = ""
 
 
-class Services(msgspec.Struct):
+class ServiceAddresses(msgspec.Struct):
     """Addresses of the cloud and of the state service."""
 
     cloud: str
@@ -58,7 +58,7 @@
     times: float | None = None
 
 
-class Workers(msgspec.Struct):
+class WorkerTimings(msgspec.Struct):
     """How often workers report, how long they run without an answer, and how fast a cancellation must take effect."""
 
     report_s: float
@@ -68,7 +68,7 @@
     gang_peer_s: float = 0.0
 
 
-class Next(msgspec.Struct):
+class NextStateLimits(msgspec.Struct):
     """Limits that the state service will have from some moment on, without notice; what is absent stays."""
 
     write_rps: float | None = None
@@ -76,20 +76,20 @@
     txn_ops: int | None = None
 
 
-class State(msgspec.Struct):
-    """Limits of the state service. What is written keeps to `least`; what is read may be larger."""
+class StateLimits(msgspec.Struct):
+    """Limits of the state service. What is written keeps to `strictest`; what is read may be larger."""
 
     rps: float
     write_rps: float
     value_kb: float
     txn_ops: int
-    next: Next | None = None
+    next: NextStateLimits | None = None
 
     @property
-    def least(self) -> State:
+    def strictest(self) -> StateLimits:
         """The limits to write within, now and after they have been lowered."""
-        coming = self.next or Next()
-        return State(
+        coming = self.next or NextStateLimits()
+        return StateLimits(
             self.rps,
             min(self.write_rps, coming.write_rps or self.write_rps),
             min(self.value_kb, coming.value_kb or self.value_kb),
@@ -97,14 +97,14 @@
         )
 
 
-class Cloud(msgspec.Struct):
+class CloudLimits(msgspec.Struct):
     """The cloud's request budget, and by how much its machine list may lag behind."""
 
     rps: float
     list_lag_s: float
 
 
-class Limits(msgspec.Struct):
+class ControllerLimits(msgspec.Struct):
     """What one controller may use of its machine."""
 
     core_share: float = 1.0
@@ -116,18 +116,18 @@
         return self.mem_mb * BYTES_PER_MB * share
 
 
-class Params(msgspec.Struct):
+class ClusterParams(msgspec.Struct):
     """Everything that is the same for all controllers of the cluster."""
 
-    workers: Workers
-    state: State
-    cloud: Cloud
+    workers: WorkerTimings
+    state: StateLimits
+    cloud: CloudLimits
     nodes: int = 1
     zones: list[str] = []
     skew_ms: float = 0.0
     teams: list[Team] = []
     objectives: list[Objective] = []
-    limits: Limits = msgspec.field(default_factory=Limits)
+    limits: ControllerLimits = msgspec.field(default_factory=ControllerLimits)
 
 
 class Settings(msgspec.Struct):
@@ -136,8 +136,8 @@
     node: str
     api_addr: str
     mesh_addr: str
-    services: Services
-    params: Params
+    services: ServiceAddresses
+    params: ClusterParams
     domain: str = ""
     known: list[Peer] = []
 
@@ -146,7 +146,7 @@
         """Mesh address of every other controller by name."""
         return {peer.node: peer.endpoint for peer in self.known if peer.node != self.node}
 
-    def done_within(self) -> dict[str, list[float]]:
+    def completion_objectives(self) -> dict[str, list[float]]:
         """For each class within what times its jobs should be done, the shortest first."""
         found: dict[str, list[float]] = {}
         for objective in sorted(self.params.objectives, key=lambda objective: objective.within_s or 0.0):
@@ -188,9 +188,9 @@
             raise SettingsError(path, key, f"expected 1 to 64 letters, digits, '_', '.' or '-', got {value!r}")
 
 
-def _check_state(path: str, limits: State) -> None:
+def _check_state(path: str, limits: StateLimits) -> None:
     """The state service's limits, now and from some moment on; a transaction needs room for two operations."""
-    groups: list[tuple[str, State | Next]] = [("params.state", limits)]
+    groups: list[tuple[str, StateLimits | NextStateLimits]] = [("params.state", limits)]
     if limits.next is not None:
         named = tuple(name for name in ("write_rps", "value_kb", "txn_ops") if getattr(limits.next, name) is not None)
         _check_positive(path, "params.state.next", limits.next, named)
--- a/tealhook/settings/policy.py
+++ b/tealhook/settings/policy.py
@@ -185,13 +185,13 @@
 
 
 class Policy:
-    """Checked expressions; `value` evaluates one and keeps it within its range."""
+    """Checked expressions; `evaluate` evaluates one and keeps it within its range."""
 
     def __init__(self, codes: Mapping[str, CodeType]) -> None:
         """`codes`: the compiled expression of every rule in `RULES`."""
         self._codes = dict(codes)
 
-    def value(self, name: str, variables: Mapping[str, float]) -> float:
+    def evaluate(self, name: str, variables: Mapping[str, float]) -> float:
         """The rule's value; a failing evaluation (division by zero) gives its default's value or lowest."""
         _, _, lowest, highest = RULES[name]
         scope = dict.fromkeys(VARIABLES, 0.0) | dict(variables)
--- a/tealhook/state_store/client.py
+++ b/tealhook/state_store/client.py
@@ -57,7 +57,7 @@
     def __init__(self, context: NodeContext) -> None:
         """Rate limits and the limits of what may be written come from the settings."""
         super().__init__(context)
-        limits = context.settings.params.state.least
+        limits = context.settings.params.state.strictest
         self.max_operations = limits.txn_ops
         self.value_bytes = int(limits.value_kb * 1024)
 
--- a/tealhook/state_store/read_index.py
+++ b/tealhook/state_store/read_index.py
@@ -29,7 +29,7 @@
         self._watcher = watcher
         self._timeout_s = timeout_s
         params = context.settings.params
-        self._min_interval_s = max(1, params.nodes) / (READS_SHARE * max(1.0, params.state.least.rps))
+        self._min_interval_s = max(1, params.nodes) / (READS_SHARE * max(1.0, params.state.strictest.rps))
         self._slow_s = SLOW_SHARE * timeout_s
         self._waiting: list[OnRefresh] = []
         self._timer: Cancellable | None = None
--- a/tealhook/state_store/request_queue.py
+++ b/tealhook/state_store/request_queue.py
@@ -77,7 +77,7 @@
     def __init__(self, context: NodeContext) -> None:
         """The rate limits come from the settings; at first they are divided evenly among all nodes."""
         self._effects = context.effects
-        limits = context.settings.params.state.least
+        limits = context.settings.params.state.strictest
         self._rps, self._wps = limits.rps, limits.write_rps
         self._pace = 1.0  # share of the rate limits that is used: less while the store reports that they are exceeded
         self._paced_at = LONG_AGO_S
--- a/tests/standins/state.py
+++ b/tests/standins/state.py
@@ -82,8 +82,8 @@
 
     def lower_limits(self, **limits: float) -> None:
         """Enforce these limits from now on, by default those of `state.next`; stored values stay readable."""
-        least = self.cluster.settings.params.state.least
-        self.lowered_limits = {name: getattr(least, name) for name in ("write_rps", "value_kb", "txn_ops")} | limits
+        strictest = self.cluster.settings.params.state.strictest
+        self.lowered_limits = {name: getattr(strictest, name) for name in ("write_rps", "value_kb", "txn_ops")} | limits
         self._tokens, self._tokens_at = self.lowered_limits["write_rps"], self.cluster.now
 
     def _limit_status(self, body: dict) -> int | None:
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -34,11 +34,11 @@
 
 def test_effective_limits_are_the_smaller_ones():
     state = parse_settings("s.toml", settings_text(0, 3, next_limits=NEXT_LIMITS | {"surprise": 1})).params.state
-    assert (state.least.write_rps, state.least.value_kb, state.least.txn_ops) == (21.0, 2.0, 5)
+    assert (state.strictest.write_rps, state.strictest.value_kb, state.strictest.txn_ops) == (21.0, 2.0, 5)
     assert (state.value_kb, state.txn_ops) == (8.0, 16)
     state = parse_settings("s.toml", settings_text(0, 3, next_limits={"value_kb": 32.0, "txn_ops": 7})).params.state
-    assert (state.least.write_rps, state.least.value_kb, state.least.txn_ops) == (40.0, 8.0, 7)
-    assert parse_settings("s.toml", settings_text(0, 3)).params.state.least.txn_ops == 16
+    assert (state.strictest.write_rps, state.strictest.value_kb, state.strictest.txn_ops) == (40.0, 8.0, 7)
+    assert parse_settings("s.toml", settings_text(0, 3)).params.state.strictest.txn_ops == 16
 
 
 @pytest.mark.parametrize(
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -42,15 +42,15 @@
     documented = load_policy(str(ROOT / "deploy" / "policy.conf"))
     printed = parse_policy("printed", DEFAULT_POLICY)
     for name in RULES:
-        values = {policy.value(name, variables) for policy in (documented, printed, load_policy(None))}
+        values = {policy.evaluate(name, variables) for policy in (documented, printed, load_policy(None))}
         assert len(values) == 1, name
 
 
 def test_policy_values_stay_in_range():
     policy = parse_policy("p", "spot_share = 3 * used\nidle_return_s = 60 / used\nfence_s = 5 if used > 1 else 7")
-    assert policy.value("spot_share", {"used": 1.0}) == 1.0
-    assert policy.value("idle_return_s", {"used": 0.0}) == 0.0  # can't be evaluated: the lowest
-    assert policy.value("fence_s", {"used": 2.0}) == 5.0
+    assert policy.evaluate("spot_share", {"used": 1.0}) == 1.0
+    assert policy.evaluate("idle_return_s", {"used": 0.0}) == 0.0  # can't be evaluated: the lowest
+    assert policy.evaluate("fence_s", {"used": 2.0}) == 5.0
 
 
 @pytest.mark.parametrize(
--- a/tests/test_upgrade_runs.py
+++ b/tests/test_upgrade_runs.py
@@ -26,7 +26,7 @@
 
 def _count_splits(cluster: SimulatedCluster) -> None:
     """Note each write that copies a part of a record too large for the coming limits, and each that shortens one."""
-    limit = 1024 * cluster.settings.params.state.least.value_kb
+    limit = 1024 * cluster.settings.params.state.strictest.value_kb
     commit = cluster.state._txn
 
     def size(key: str) -> int:
