--- a/deploy/precompile.py
+++ b/deploy/precompile.py
@@ -1,4 +1,4 @@
-"""Compiles the package and its dependencies under target/pycache, so that starting is light."""
+"""Build step that compiles the package and its dependencies into target/pycache, for a fast start."""
 
 import compileall
 import sys
@@ -8,5 +8,5 @@
 sys.pycache_prefix = str(ROOT / "target" / "pycache")
 
 if __name__ == "__main__":
-    whole = all(compileall.compile_dir(ROOT / name, quiet=1) for name in ("tealhook", "target/deps"))
-    raise SystemExit(0 if whole else 1)
+    is_complete = all(compileall.compile_dir(ROOT / name, quiet=1) for name in ("tealhook", "target/deps"))
+    raise SystemExit(0 if is_complete else 1)
--- a/tealhook/errors.py
+++ b/tealhook/errors.py
@@ -1,17 +1,17 @@
-"""The errors that cross the bounds of a module, with a common base."""
+"""Base class of all errors of the package, and the errors that several modules share."""
 
 from __future__ import annotations
 
 
 class TealhookError(Exception):
-    """Base of the errors that tealhook raises itself, for callers that handle all of them alike."""
+    """Base class of all errors that tealhook defines, for callers that handle them alike."""
 
 
 class CorruptRecordError(TealhookError, ValueError):
-    """A record in the state service does not have the form that it must have."""
+    """A record in the state store with invalid contents."""
 
     def __init__(self, key: str, expected: str, found: str) -> None:
-        """The record at `key`: what is `expected` there, and what was `found` instead."""
+        """Initialize with the `key` of the record, the expected contents, and the contents found instead."""
         super().__init__(f"corrupt record {key}: expected {expected}, found {found}")
         self.key = key
         self.expected = expected
--- a/tealhook/settings/__init__.py
+++ b/tealhook/settings/__init__.py
@@ -1,4 +1,4 @@
-"""What operators set: the platform's file, and the policy with its checker."""
+"""Configuration of a controller: the platform's settings file and the operators' policy."""
 
 from tealhook.settings.platform import Settings, SettingsError, load_settings
 from tealhook.settings.policy import DEFAULT_POLICY, Policy, PolicyError, load_policy
--- a/tealhook/settings/platform.py
+++ b/tealhook/settings/platform.py
@@ -1,4 +1,4 @@
-"""The settings file that the platform hands over (TOML), checked before anything starts."""
+"""Settings file that the platform provides (TOML), validated before the controller starts."""
 
 from __future__ import annotations
 
@@ -13,10 +13,10 @@
 
 
 class SettingsError(TealhookError, ValueError):
-    """A settings file that can't be used; the text is one line: file, key, and what is expected."""
+    """An unreadable or invalid settings file; the message is one line with the file, the key and the problem."""
 
     def __init__(self, path: str, key: str | None, problem: str) -> None:
-        """`key` is None where the file as a whole is wrong."""
+        """Initialize with the dotted `key` of the invalid value, or None if the file as a whole is invalid."""
         super().__init__(f"{path}: {key}: {problem}" if key is not None else f"{path}: {problem}")
         self.path = path
         self.key = key
@@ -24,7 +24,7 @@
 
 
 class Peer(msgspec.Struct):
-    """Another controller: its name, mesh address and zone."""
+    """Name, mesh address and zone of a controller of the cluster."""
 
     node: str
     endpoint: str
@@ -32,14 +32,14 @@
 
 
 class ServiceAddresses(msgspec.Struct):
-    """Addresses of the cloud and of the state service."""
+    """Addresses of the cloud API and the state store."""
 
     cloud: str
     state: str
 
 
 class Team(msgspec.Struct):
-    """A team; a guarantee or limit of 0 means none."""
+    """A team with its guaranteed CPUs and GPUs and its limits; a guarantee or limit of 0 means none."""
 
     name: str
     cpus: float = 0.0
@@ -49,7 +49,7 @@
 
 
 class Objective(msgspec.Struct):
-    """A service objective, such as a share of a class's jobs that should be done within some time."""
+    """A service objective, such as the time within which a share of the jobs of a class should finish."""
 
     kind: str
     class_: str | None = msgspec.field(name="class", default=None)
@@ -59,7 +59,10 @@
 
 
 class WorkerTimings(msgspec.Struct):
-    """How often workers report, how long they run without an answer, and how fast a cancellation must take effect."""
+    """Heartbeat period of the workers, their lease, and the time within which a cancellation must take effect.
+
+    The lease is the time for which a worker runs its tasks without an answered heartbeat.
+    """
 
     report_s: float
     lease_s: float
@@ -69,7 +72,7 @@
 
 
 class NextStateLimits(msgspec.Struct):
-    """Limits that the state service will have from some moment on, without notice; what is absent stays."""
+    """Limits that the state store will enforce from an unannounced time on; an absent limit does not change."""
 
     write_rps: float | None = None
     value_kb: float | None = None
@@ -77,7 +80,10 @@
 
 
 class StateLimits(msgspec.Struct):
-    """Limits of the state service. What is written keeps to `strictest`; what is read may be larger."""
+    """Limits of the state store.
+
+    Writes keep within `strictest`. Values read may be larger, since they can date from before a limit was lowered.
+    """
 
     rps: float
     write_rps: float
@@ -87,37 +93,37 @@
 
     @property
     def strictest(self) -> StateLimits:
-        """The limits to write within, now and after they have been lowered."""
-        coming = self.next or NextStateLimits()
+        """The lower of each present and future limit: writes within them are accepted before and after the change."""
+        future = self.next or NextStateLimits()
         return StateLimits(
             self.rps,
-            min(self.write_rps, coming.write_rps or self.write_rps),
-            min(self.value_kb, coming.value_kb or self.value_kb),
-            min(self.txn_ops, coming.txn_ops or self.txn_ops),
+            min(self.write_rps, future.write_rps or self.write_rps),
+            min(self.value_kb, future.value_kb or self.value_kb),
+            min(self.txn_ops, future.txn_ops or self.txn_ops),
         )
 
 
 class CloudLimits(msgspec.Struct):
-    """The cloud's request budget, and by how much its machine list may lag behind."""
+    """Request rate limit of the cloud API, and the maximum delay of its machine list."""
 
     rps: float
     list_lag_s: float
 
 
 class ControllerLimits(msgspec.Struct):
-    """What one controller may use of its machine."""
+    """Resources that one controller may use on its machine."""
 
     core_share: float = 1.0
     mem_mb: float = 256.0
     max_connections: int = 512
 
     def memory_bytes(self, share: float) -> float:
-        """Bytes in a share of the memory."""
+        """Return the bytes of a share of the controller's memory."""
         return self.mem_mb * BYTES_PER_MB * share
 
 
 class ClusterParams(msgspec.Struct):
-    """Everything that is the same for all controllers of the cluster."""
+    """Parameters that all controllers of the cluster share."""
 
     workers: WorkerTimings
     state: StateLimits
@@ -131,7 +137,7 @@
 
 
 class Settings(msgspec.Struct):
-    """One controller's settings file."""
+    """Contents of the settings file of one controller."""
 
     node: str
     api_addr: str
@@ -143,20 +149,20 @@
 
     @property
     def peers(self) -> dict[str, str]:
-        """Mesh address of every other controller by name."""
+        """The mesh addresses of all other controllers, by name."""
         return {peer.node: peer.endpoint for peer in self.known if peer.node != self.node}
 
     def completion_objectives(self) -> dict[str, list[float]]:
-        """For each class within what times its jobs should be done, the shortest first."""
-        found: dict[str, list[float]] = {}
+        """Return the times in seconds within which jobs of each class should finish, in ascending order."""
+        times_s: dict[str, list[float]] = {}
         for objective in sorted(self.params.objectives, key=lambda objective: objective.within_s or 0.0):
             if objective.kind == "finished" and objective.class_ and objective.within_s:
-                found.setdefault(objective.class_, []).append(objective.within_s)
-        return found
+                times_s.setdefault(objective.class_, []).append(objective.within_s)
+        return times_s
 
     @property
     def team_names(self) -> list[str]:
-        """The names of all teams, in the file's order."""
+        """The names of all teams, in the order of the file."""
         return [team.name for team in self.params.teams]
 
 
@@ -188,12 +194,12 @@
             raise SettingsError(path, key, f"expected 1 to 64 letters, digits, '_', '.' or '-', got {value!r}")
 
 
-def _check_state(path: str, limits: StateLimits) -> None:
-    """The state service's limits, now and from some moment on; a transaction needs room for two operations."""
+def _check_state_limits(path: str, limits: StateLimits) -> None:
+    """Check the present and future limits of the state store; a transaction must allow at least two operations."""
     groups: list[tuple[str, StateLimits | NextStateLimits]] = [("params.state", limits)]
     if limits.next is not None:
-        named = tuple(name for name in ("write_rps", "value_kb", "txn_ops") if getattr(limits.next, name) is not None)
-        _check_positive(path, "params.state.next", limits.next, named)
+        given = tuple(name for name in ("write_rps", "value_kb", "txn_ops") if getattr(limits.next, name) is not None)
+        _check_positive(path, "params.state.next", limits.next, given)
         groups.append(("params.state.next", limits.next))
     for group, state in groups:
         if state.txn_ops is not None and state.txn_ops < 2:
@@ -205,11 +211,11 @@
         for name in ("cpus", "cpus_max", "gpus", "gpus_max"):
             value = getattr(team, name)
             if not math.isfinite(value) or value < 0:
-                raise SettingsError(path, f"params.teams[{i}].{name}", f"expected a number, 0 or more, got {value}")
+                raise SettingsError(path, f"params.teams[{i}].{name}", f"expected a number of at least 0, got {value}")
 
 
-def _check(path: str, settings: Settings) -> None:
-    """Raise SettingsError for the first value that is out of its range."""
+def _check_settings(path: str, settings: Settings) -> None:
+    """Raise SettingsError for the first invalid value."""
     _check_addr(path, "api_addr", settings.api_addr)
     _check_addr(path, "mesh_addr", settings.mesh_addr)
     _check_addr(path, "services.cloud", settings.services.cloud)
@@ -222,31 +228,35 @@
     _check_positive(path, "params.state", params.state, ("rps", "write_rps", "value_kb", "txn_ops"))
     _check_positive(path, "params.cloud", params.cloud, ("rps", "list_lag_s"))
     _check_positive(path, "params.limits", params.limits, ("core_share", "mem_mb", "max_connections"))
-    _check_state(path, params.state)
+    _check_state_limits(path, params.state)
     if params.workers.cancel_s <= params.workers.lease_s:
-        raise SettingsError(path, "params.workers.cancel_s", "expected more than lease_s")
+        raise SettingsError(
+            path,
+            "params.workers.cancel_s",
+            f"expected more than lease_s ({params.workers.lease_s:g}), got {params.workers.cancel_s:g}",
+        )
     _check_teams(path, params.teams)
-    for kind, listed in (("teams", settings.team_names), ("zones", params.zones)):
-        if len(set(listed)) != len(listed):
-            raise SettingsError(path, f"params.{kind}", "expected each name once")
+    for key, names in (("teams", settings.team_names), ("zones", params.zones)):
+        if len(set(names)) != len(names):
+            raise SettingsError(path, f"params.{key}", f"expected each name once, got {', '.join(names)}")
 
 
 def parse_settings(path: str, text: str) -> Settings:
-    """Decode and check the text of a settings file named `path`."""
+    """Decode and validate the text of a settings file; `path` names the file in errors."""
     try:
         settings = msgspec.toml.decode(text.encode(), type=Settings)
     except msgspec.ValidationError as exc:
-        message, _, where = str(exc).partition(" - at `$")
-        key = where.rstrip("`").lstrip(".") or "(top)"
+        message, _, json_path = str(exc).partition(" - at `$")
+        key = json_path.rstrip("`").lstrip(".") or "(top)"
         raise SettingsError(path, key, message) from None
     except msgspec.DecodeError as exc:
         raise SettingsError(path, None, f"not TOML: {exc}") from None
-    _check(path, settings)
+    _check_settings(path, settings)
     return settings
 
 
 def load_settings(path: str) -> Settings:
-    """Read, decode and check a settings file; raises SettingsError with a one-line message."""
+    """Read, decode and validate a settings file; raise SettingsError if it is unreadable or invalid."""
     try:
         with open(path, encoding="utf-8") as file:
             text = file.read()
--- a/tests/test_errors.py
+++ b/tests/test_errors.py
@@ -1,4 +1,4 @@
-"""Errors say in typed fields what their one line of text says."""
+"""Errors have typed fields that agree with their one-line messages."""
 
 import json
 
@@ -13,7 +13,7 @@
 from tests.simulation.settings import settings_text
 
 
-def test_a_settings_error_names_the_key():
+def test_settings_error_names_key():
     text = settings_text(0, 3).replace('api_addr = "', 'api_addr = "x', 1)
     with pytest.raises(SettingsError) as caught:
         parse_settings("settings.toml", text)
@@ -22,13 +22,13 @@
     assert str(error) == f"settings.toml: api_addr: {error.problem}"
 
 
-def test_a_settings_error_about_the_whole_file_names_no_key():
+def test_settings_error_about_whole_file_names_no_key():
     with pytest.raises(SettingsError) as caught:
         parse_settings("settings.toml", "[")
     assert caught.value.key is None and str(caught.value).startswith("settings.toml: not TOML: ")
 
 
-def test_a_policy_error_names_position_and_rule():
+def test_policy_error_names_position_and_rule():
     with pytest.raises(PolicyError) as caught:
         parse_policy("policy", "\n  feedback = 0.5 + nothing")
     error = caught.value
@@ -36,7 +36,7 @@
     assert str(error) == f"policy:2:20: feedback: {error.problem}"
 
 
-def test_a_malformed_submission_names_field_and_job():
+def test_malformed_submission_error_names_field_and_job():
     with pytest.raises(InvalidJobError) as caught:
         parse_job(json.dumps({"name_id": "req-000001", "lineup": 5}).encode())
     error = caught.value
@@ -44,11 +44,11 @@
     assert str(error) == f"lineup: {error.problem}"
 
 
-def test_a_submission_without_an_id_names_no_job():
+def test_error_of_submission_without_id_names_no_job():
     with pytest.raises(InvalidJobError) as caught:
         parse_job(b"{}")
     assert caught.value.field == "name_id" and caught.value.job_id is None
 
 
-def test_all_errors_have_one_base():
+def test_all_errors_share_one_base_class():
     assert all(issubclass(error, TealhookError) for error in (SettingsError, PolicyError, InvalidJobError, HttpError))
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -1,4 +1,4 @@
-"""The list of tests known to fail passes over just these, prints them, and is held to be true."""
+"""The list of tests known to fail excuses and prints only those tests, and must match the results."""
 
 import subprocess
 import sys
@@ -18,25 +18,25 @@
 """
 
 
-def _run(root: Path, listed: str) -> tuple[int, str]:
+def _run_pytest(root: Path, listed: str) -> tuple[int, str]:
     tests = root / "tests"
     tests.mkdir()
     (root / "pyproject.toml").write_text('[tool.pytest.ini_options]\ntestpaths = ["tests"]\n')
     (tests / "conftest.py").write_text(Path(__file__).with_name("conftest.py").read_text())
     (tests / "test_some.py").write_text(TESTS)
     (root / KNOWN_RED_FILE).write_text(listed)
-    done = subprocess.run(
+    process = subprocess.run(
         [sys.executable, "-m", "pytest", "-p", "no:cacheprovider"],
         cwd=root,
         capture_output=True,
         text=True,
         check=False,
     )
-    return done.returncode, done.stdout + done.stderr
+    return process.returncode, process.stdout + process.stderr
 
 
 @pytest.mark.parametrize(
-    ("listed", "code", "says"),
+    ("listed", "expected_code", "expected_output"),
     [
         (
             "tests/test_some.py::test_red, not mended, 13\n",
@@ -49,9 +49,9 @@
         ("tests/test_other.py::test_none, x, 13\n", 4, "no such test"),
     ],
 )
-def test_the_list_is_held_to_be_true(tmp_path, listed, code, says):
-    status, output = _run(tmp_path, listed)
-    assert status == code and says in output
+def test_list_must_match_test_results(tmp_path, listed, expected_code, expected_output):
+    code, output = _run_pytest(tmp_path, listed)
+    assert code == expected_code and expected_output in output
 
 
 @pytest.mark.parametrize(
@@ -62,6 +62,6 @@
         "".join(f"tests/a.py::test_{i}, cause, 1\n" for i in range(4)),
     ],
 )
-def test_a_list_without_causes_or_too_long_is_refused(text):
+def test_list_without_causes_or_too_long_is_rejected(text):
     with pytest.raises(pytest.UsageError):
         known_red(text)
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -1,4 +1,4 @@
-"""The platform's file and the policy language: what is taken, and one clear line for what is not."""
+"""Settings file and policy language: valid input is accepted, invalid input is rejected with a one-line error."""
 
 import subprocess
 import sys
@@ -14,7 +14,7 @@
 ROOT = Path(__file__).resolve().parent.parent
 
 
-def test_good_settings_and_unknown_fields():
+def test_valid_settings_with_unknown_fields_are_accepted():
     settings = parse_settings("s.toml", "surprise = 1\n" + settings_text(0, 3))
     assert settings.peers == {"n1": "10.0.0.2:8081", "n2": "10.0.0.3:8081"}
     assert settings.team_names == ["team-0", "team-1", "team-2"]
@@ -37,24 +37,24 @@
     assert str(caught.value).startswith(expected) and "\n" not in str(caught.value)
 
 
-def test_documented_default_policy_is_the_built_in_one():
+def test_documented_default_policy_equals_built_in_policy():
     variables = {"mean": 70.0, "urgent": 10.0, "lease_s": 9.0, "boot_s": 30.0, "limit": 100.0, "guaranteed": 1.0}
     documented = load_policy(str(ROOT / "deploy" / "policy.conf"))
-    printed = parse_policy("printed", DEFAULT_POLICY)
+    built_in = parse_policy("printed", DEFAULT_POLICY)
     for name in RULES:
-        values = {policy.evaluate(name, variables) for policy in (documented, printed, load_policy(None))}
+        values = {policy.evaluate(name, variables) for policy in (documented, built_in, load_policy(None))}
         assert len(values) == 1, name
 
 
 def test_policy_values_stay_in_range():
     policy = parse_policy("p", "spot_share = 3 * used\nidle_return_s = 60 / used\nfence_s = 5 if used > 1 else 7")
     assert policy.evaluate("spot_share", {"used": 1.0}) == 1.0
-    assert policy.evaluate("idle_return_s", {"used": 0.0}) == 0.0  # can't be evaluated: the lowest
+    assert policy.evaluate("idle_return_s", {"used": 0.0}) == 0.0  # A division by zero gives the minimum.
     assert policy.evaluate("fence_s", {"used": 2.0}) == 5.0
 
 
 @pytest.mark.parametrize(
-    ("text", "where"),
+    ("text", "expected"),
     [
         ("ready_cpus = used +", "p:1:"),
         ("ready_cpus = used\n  fence_s = nothing", "p:2:13: fence_s: unknown name 'nothing'"),
@@ -70,25 +70,30 @@
         ("fence_s = " + "1+" * 200 + "1", "p:1:11: fence_s: too long"),
     ],
 )
-def test_invalid_policy_names_line_and_column(text, where):
+def test_invalid_policy_names_line_and_column(text, expected):
     with pytest.raises(PolicyError) as caught:
         parse_policy("p", text)
-    assert str(caught.value).startswith(where)
+    assert str(caught.value).startswith(expected)
 
 
-def _tealhook(*words: str) -> subprocess.CompletedProcess:
+def _run_tealhook(*arguments: str) -> subprocess.CompletedProcess:
     return subprocess.run(
-        [sys.executable, "-m", "tealhook", *words], capture_output=True, text=True, cwd=ROOT, timeout=60, check=False
+        [sys.executable, "-m", "tealhook", *arguments],
+        capture_output=True,
+        text=True,
+        cwd=ROOT,
+        timeout=60,
+        check=False,
     )
 
 
-def test_command_line_checks_and_exit_codes(tmp_path):
-    good, bad = tmp_path / "good.toml", tmp_path / "bad.toml"
-    good.write_text(settings_text(0, 3))
-    bad.write_text(settings_text(0, 3).replace("rps = 150.0", "rps = 0.0", 1))
-    assert _tealhook("check", "--config", str(good)).returncode == 0
-    refused = _tealhook("serve", "--config", str(bad))
-    assert refused.returncode == 2
-    assert refused.stderr == f"tealhook: {bad}: params.state.rps: expected a number above 0, got 0.0\n"
-    assert _tealhook("frobnicate").returncode == 2
-    assert "serve" in _tealhook("--help").stdout
+def test_command_line_validates_settings_and_sets_exit_codes(tmp_path):
+    valid, invalid = tmp_path / "good.toml", tmp_path / "bad.toml"
+    valid.write_text(settings_text(0, 3))
+    invalid.write_text(settings_text(0, 3).replace("rps = 150.0", "rps = 0.0", 1))
+    assert _run_tealhook("check", "--config", str(valid)).returncode == 0
+    rejected = _run_tealhook("serve", "--config", str(invalid))
+    assert rejected.returncode == 2
+    assert rejected.stderr == f"tealhook: {invalid}: params.state.rps: expected a number above 0, got 0.0\n"
+    assert _run_tealhook("frobnicate").returncode == 2
+    assert "serve" in _run_tealhook("--help").stdout
