--- a/tealhook/settings/policy.py
+++ b/tealhook/settings/policy.py
@@ -114,16 +114,16 @@
 
     def check_number(self, node: ast.AST) -> None:
         """Check an expression that must evaluate to a number."""
-        if self.check(node) != "number":
+        if self.infer_type(node) != "number":
             raise self._make_error(node, "expected a number, got a comparison")
 
     def check_truth(self, node: ast.AST) -> None:
         """Check an expression that must evaluate to a truth value."""
-        if self.check(node) != "truth":
+        if self.infer_type(node) != "truth":
             raise self._make_error(node, "expected a comparison, got a number")
 
-    def check(self, node: ast.AST) -> ExpressionType:
-        """Check an expression of either type, and return the type."""
+    def infer_type(self, node: ast.AST) -> ExpressionType:
+        """Check an expression of either type and return its type."""
         expression_type = self._check_if_number(node) or self._check_if_truth(node)
         if expression_type is None:
             raise self._make_error(node, "not allowed in a policy; expected numbers, variables, operators, functions")
