--- a/tealhook/settings/policy.py
+++ b/tealhook/settings/policy.py
@@ -57,7 +57,7 @@
     ),
     "spot_share": ("maximum share of the fleet's CPUs on spot machines", "1", 0.0, 1.0),
     "hold_age_s": (
-        "seconds after which a waiting task reserves capacity in its best partition, and unstarted jobs go first",
+        "seconds after which capacity is held for a waiting task in its best partition, and unstarted jobs go first",
         "begin_s / 3",
         0.0,
         1e6,
