--- a/tealhook/fleet/cloud_calls.py
+++ b/tealhook/fleet/cloud_calls.py
@@ -18,7 +18,7 @@
 from tealhook.mesh import Mesh
 from tealhook.state_store import StateClient
 from tealhook.wire import cloud as wire
-from tealhook.wire.workers import FAILOVER_S
+from tealhook.wire.workers import WORKER_FAILOVER_S
 
 log = logging.getLogger(__name__)
 
@@ -117,7 +117,7 @@
         workers, now = self._settings.params.workers, self._effects.now()
         if self._cloud_silent_since is not None and now - self._cloud_silent_since > workers.lease_s / 2:
             self._pending_releases.clear()  # Whoever still needs a machine released requests it again.
-            self._no_release_before = now + 2 * workers.report_s + FAILOVER_S
+            self._no_release_before = now + 2 * workers.report_s + WORKER_FAILOVER_S
         self._cloud_silent_since = None
 
     # -- machine types: every node reads them from the state store, the fleet's owner fetches them from the cloud
--- a/tealhook/partitions/heartbeats.py
+++ b/tealhook/partitions/heartbeats.py
@@ -57,7 +57,10 @@
                 # Heartbeats were answered until shortly before the lease expired, so the answers did not arrive.
                 self._health.mark_commands_lost(machine, now)
             self._begin_session(machine, heartbeat.session, now)
-        elif now - machine.session_started_at > MAX_CLOCK_DRIFT_RATIO * self._workers.lease_s + wire.ANSWER_TIMEOUT_S:
+        elif (
+            now - machine.session_started_at
+            > MAX_CLOCK_DRIFT_RATIO * self._workers.lease_s + wire.HEARTBEAT_ANSWER_TIMEOUT_S
+        ):
             machine.commands_lost_since = None  # the session has outlasted a lease, so an answer has arrived
         machine.sequence = heartbeat.sequence
         machine.last_heartbeat_at = now
--- a/tealhook/partitions/responses.py
+++ b/tealhook/partitions/responses.py
@@ -55,4 +55,4 @@
             return 0.0
         periods = BUSY_HOLD_PERIODS if machine.tasks else IDLE_HOLD_PERIODS
         hold_s = max(MIN_HOLD_INTERVAL_SHARE * MIN_HEARTBEAT_INTERVAL_S, periods * self._workers.report_s)
-        return min(wire.ANSWER_TIMEOUT_S / 2, hold_s)
+        return min(wire.HEARTBEAT_ANSWER_TIMEOUT_S / 2, hold_s)
--- a/tealhook/scheduling/reconciliation.py
+++ b/tealhook/scheduling/reconciliation.py
@@ -13,7 +13,7 @@
 from tealhook.scheduling.attempt_index import AttemptIndex
 from tealhook.scheduling.attempts import NO_UPDATE
 from tealhook.wire import mesh as wire
-from tealhook.wire.workers import FAILOVER_S
+from tealhook.wire.workers import WORKER_FAILOVER_S
 
 # The time for which a machine that may run a cancelled task may be unreachable shrinks while the time since the
 # cancellation is between these shares of `cancel_s`. The rest of `cancel_s` is left for the release of the machine.
@@ -92,7 +92,7 @@
         fence_s = self._policy.value("fence_s")
         # Within this time a live worker has sent another heartbeat, if need be through another node. When many machines
         # are unreachable at once, the network to them has probably failed and they may return with all their tasks.
-        single_machine_s = min(fence_s, 2 * self._workers.report_s + FAILOVER_S)
+        single_machine_s = min(fence_s, 2 * self._workers.report_s + WORKER_FAILOVER_S)
         default_s = single_machine_s if reply.mostly_reporting else fence_s
         unreachable = []
         for machine, silent_s in zip(machines, reply.silent_s, strict=False):
--- a/tealhook/wire/workers.py
+++ b/tealhook/wire/workers.py
@@ -10,8 +10,9 @@
 import msgspec
 
 HEARTBEAT_PATH = "/v1/report"
-ANSWER_TIMEOUT_S = 4.0  # a worker drops answers to a heartbeat that come later
-FAILOVER_S = ANSWER_TIMEOUT_S + 1.0 + 0.5  # then it tries the next node 1 s later, and is redirected within 0.5 s
+HEARTBEAT_ANSWER_TIMEOUT_S = 4.0  # Workers discard later answers.
+# After a timeout a worker waits 1 s before it tries the next node, which redirects it within 0.5 s.
+WORKER_FAILOVER_S = HEARTBEAT_ANSWER_TIMEOUT_S + 1.0 + 0.5
 MAX_TASK_INDEX_DIGITS = 6
 
 
