--- a/tealhook/wire/mesh/fleet.py
+++ b/tealhook/wire/mesh/fleet.py
@@ -44,7 +44,10 @@
 
 
 class DrainRequest(PartitionRequest, tag="drain"):
-    """A request to a partition's owner to place no more tasks on machines that the fleet will release."""
+    """A request to a partition's owner to place no more tasks on machines that the fleet will release.
+
+    The draining of all other machines in the partition ends.
+    """
 
     machines: list[str]
 
