--- a/tealhook/admission/cancellations.py
+++ b/tealhook/admission/cancellations.py
@@ -12,7 +12,7 @@
 from tealhook.jobs.record_store import JobRecordStore
 from tealhook.state_store import CallPriority, Outcome, ReadOutcome
 from tealhook.wire.common import encode_json, error_body
-from tealhook.wire.users import JobStatus, valid_job_id
+from tealhook.wire.users import JobStatus, is_valid_job_id
 
 MAX_RETRIES = 3  # of a cancellation whose write conflicted with another or has an unknown outcome
 
@@ -34,7 +34,7 @@
 
     def cancel(self, job_id: str, reply: Reply, retries: int = MAX_RETRIES, *, may_refuse: bool = True) -> None:
         """Cancel a job, unless `may_refuse` is set and the state store is unavailable or overloaded."""
-        if not valid_job_id(job_id):
+        if not is_valid_job_id(job_id):
             reply(HTTPStatus.NOT_FOUND, error_body("no such job"))
             return
         ended = self._job_index.ended.get(job_id)
--- a/tealhook/partitions/heartbeats.py
+++ b/tealhook/partitions/heartbeats.py
@@ -57,7 +57,10 @@
                 # Heartbeats were answered until shortly before the lease expired, so the answers did not arrive.
                 self._health.mark_commands_lost(machine, now)
             self._begin_session(machine, heartbeat.session, now)
-        elif now - machine.session_started_at > MAX_CLOCK_DRIFT_RATIO * self._workers.lease_s + wire.ANSWER_TIMEOUT_S:
+        elif (
+            now - machine.session_started_at
+            > MAX_CLOCK_DRIFT_RATIO * self._workers.lease_s + wire.HEARTBEAT_ANSWER_TIMEOUT_S
+        ):
             machine.commands_lost_since = None  # the session has outlasted a lease, so an answer has arrived
         machine.sequence = heartbeat.sequence
         machine.last_heartbeat_at = now
@@ -92,12 +95,12 @@
         tasks: dict[AttemptKey, MachineTask] = {}
         has_changed = len(reports) != len(previous_tasks)
         for report in reports:
-            job_and_index = wire.parse_task_id(report.task)
+            job_and_index = wire.parse_task_id(report.task_id)
             if job_and_index is None:
                 continue
-            previous = previous_tasks.get((report.task, report.attempt))
+            previous = previous_tasks.get((report.task_id, report.attempt))
             task = previous or MachineTask(
-                report.task, job_and_index[0], job_and_index[1], report.attempt, "", None, now
+                report.task_id, job_and_index[0], job_and_index[1], report.attempt, "", None, now
             )
             if previous is None or previous.status != report.status:
                 self._on_status_change(machine, task, report, now)
@@ -142,7 +145,7 @@
         if log.isEnabledFor(logging.DEBUG) and task.reserved_at and task.running_since:
             log.debug(
                 "task %s exited (%s) on %s: started %.2f s after its reservation, fetched for %.2f s, ran for %.2f s",
-                report.task,
+                report.task_id,
                 report.cause,
                 machine.name,
                 task.first_reported_at - task.reserved_at,
--- a/tealhook/runtime.py
+++ b/tealhook/runtime.py
@@ -52,9 +52,11 @@
             self.loop,
             settings.services.state,
             max_connections=STATE_CONNECTIONS,
-            max_body=max(MIN_ANSWER_LIMIT_BYTES, int(limits.memory_bytes(MAX_ANSWER_MEMORY_SHARE))),
+            max_body_bytes=max(MIN_ANSWER_LIMIT_BYTES, int(limits.memory_bytes(MAX_ANSWER_MEMORY_SHARE))),
+        )
+        self._cloud = HttpClient(
+            self.loop, settings.services.cloud, max_connections=CLOUD_CONNECTIONS, max_idle_connections=1
         )
-        self._cloud = HttpClient(self.loop, settings.services.cloud, max_connections=CLOUD_CONNECTIONS, max_idle=1)
         self._workers: dict[str, HttpClient] = {}
         self.max_worker_calls = max_worker_calls(settings)
         self.transport: MeshTransport  # Set by `serve` before anything is sent, since it needs the controller.
@@ -80,7 +82,7 @@
         client = self._workers.pop(addr, None)
         if client is None:
             if len(self._workers) >= self.max_worker_calls:
-                idle = next((addr for addr, client in self._workers.items() if client.idle), None)
+                idle = next((addr for addr, client in self._workers.items() if client.is_idle), None)
                 if idle is None:  # A call in progress is not aborted for a new one: the new one fails.
                     self.loop.later(0.0, lambda: answer(None, b""))
                     return
@@ -136,7 +138,7 @@
         controller.on_request,
         max_connections=max(MIN_SERVER_CONNECTIONS, settings.params.limits.max_connections - reserved),
         idle_s=max(MIN_IDLE_TIMEOUT_S, 4 * settings.params.workers.lease_s),
-        short_when_crowded=HEARTBEAT_PATH,
+        close_when_crowded=HEARTBEAT_PATH,
     )
 
 
--- a/tests/test_guards.py
+++ b/tests/test_guards.py
@@ -42,7 +42,7 @@
 
         def transact(self, conditions, operations, *args, **kwargs):
             kept_conditions = {key: revision for key, revision in conditions.items() if not key.startswith(prefix)}
-            if not any(isinstance(operation, Put) and operation.lease is not None for operation in operations):
+            if not any(isinstance(operation, Put) and operation.lease_id is not None for operation in operations):
                 conditions = kept_conditions  # claims of ownership keep theirs
             original_transact(self, conditions, operations, *args, **kwargs)
 
