--- a/tealhook/admission/responses.py
+++ b/tealhook/admission/responses.py
@@ -61,10 +61,10 @@
 
     def refuse_overload(self, priority: CallPriority, reply: Reply) -> bool:
         """Refuse when the state service is unavailable, or its rate limit too far off; whether that was so."""
-        if not self._store.is_served and self._effects.now() - self._store.failed_at < RECENT_FAILURE_S:
+        if not self._store.is_served and self._effects.now() - self._store.last_failed_at < RECENT_FAILURE_S:
             self.reply_retry(reply, "state service unavailable")
             return True
-        wait_s = self._store.backlog(priority)
+        wait_s = self._store.estimate_queue_wait_s(priority)
         if wait_s > MAX_QUEUE_WAIT_S:
             self.reply_retry(reply, "overloaded", wait_s, HTTPStatus.TOO_MANY_REQUESTS)
             return True
--- a/tealhook/admission/submission_records.py
+++ b/tealhook/admission/submission_records.py
@@ -42,7 +42,7 @@
 
 def encode_submission(spec: JobSpec, accepted_at: float, store: StateClient) -> Submission:
     """Encode a job as its own record, and the further chunks that continue its list of dependencies."""
-    limit, key = int(store.record_bytes), job_key(spec.job_id)
+    limit, key = int(store.max_record_bytes), job_key(spec.job_id)
     sized_names = [(name, len(encode_json(name)) + 1) for name in spec.depends_on]  # each with a comma
 
     def take_names(capacity: int) -> list[str]:
@@ -70,8 +70,8 @@
 def find_excess_size(submission: Submission, store: StateClient) -> str | None:
     """Why the records of a submission can't be written in one transaction; None when they can."""
     sizes = [len(encode_json(write.value)) for write in submission.writes]
-    if max(sizes) > store.value_bytes:
-        return f"too large to be kept: at most {store.value_bytes / 1024:g} KiB without waits_on"
+    if max(sizes) > store.max_value_bytes:
+        return f"too large to be kept: at most {store.max_value_bytes / 1024:g} KiB without waits_on"
     if len(sizes) > store.max_operations or sum(sizes) > MAX_TRANSACTION_BYTES:
         return "too large to be kept: waits_on names too many jobs"
     return None
--- a/tealhook/coordination/claims.py
+++ b/tealhook/coordination/claims.py
@@ -84,7 +84,7 @@
         if (
             self._lease.lease_id is None
             or self._is_writing
-            or not self._view.watcher.synced
+            or not self._view.watcher.is_synced
             or now < self._claim_not_before
         ):
             return
--- a/tealhook/fleet/listing.py
+++ b/tealhook/fleet/listing.py
@@ -74,7 +74,7 @@
         if self._bucket.take(1, now):
             self._list_page(after, listed)
         else:
-            pause_s = max(0.01, self._bucket.wait(1, now))
+            pause_s = max(0.01, self._bucket.seconds_until_available(1, now))
             self._effects.later(pause_s, lambda: self._list_next_page(after, listed) if self._token == token else None)
 
     def _on_list(self, listed: list[wire.ListedMachine]) -> None:
--- a/tealhook/fleet/machine_types.py
+++ b/tealhook/fleet/machine_types.py
@@ -218,7 +218,7 @@
             if stored is None:
                 done(False)
                 return
-            changes = plan_changes(stored, machine_types, self._store.value_bytes)
+            changes = plan_changes(stored, machine_types, self._store.max_value_bytes)
             self._execute(token, stored.first_revision, changes, on_replaced)
 
         def on_replaced(confirmed: bool, first_revision: int) -> None:
@@ -250,8 +250,8 @@
             TYPES_KEY,
             lambda items, _revision: done(StoredMachineTypes.from_items(items) if items is not None else None),
             priority=CallPriority.ADMIT,
-            wait=READ_QUEUE_TIMEOUT_S,
-            timeout=READ_ANSWER_TIMEOUT_S,
+            queue_timeout_s=READ_QUEUE_TIMEOUT_S,
+            answer_timeout_s=READ_ANSWER_TIMEOUT_S,
         )
 
     def _execute(
--- a/tealhook/gossip/sender.py
+++ b/tealhook/gossip/sender.py
@@ -82,7 +82,7 @@
         }
         common = wire.Gossip(
             self._mesh.node,
-            now - sources.store.answered_at,
+            now - sources.store.last_answered_at,
             sources.ownership.own_tokens(),
             usage=usage,
             progress=progress,
--- a/tealhook/health_check.py
+++ b/tealhook/health_check.py
@@ -32,7 +32,7 @@
         and would delay the recovery.
         """
         now = self._effects.now()
-        unanswered_s = now - self._store.answered_at
+        unanswered_s = now - self._store.last_answered_at
         if self._job_index.synced and unanswered_s < self._lease_s / 4:
             reply(HTTPStatus.OK, b"{}")
             return
--- a/tealhook/http/client.py
+++ b/tealhook/http/client.py
@@ -119,7 +119,7 @@
             if self._waiting[0].done:
                 self._waiting.popleft()
                 continue
-            while self._free and self._free[-1].stream.closed:
+            while self._free and self._free[-1].stream.is_closed:
                 self._free.pop()
             if self._free:
                 connection = self._free.pop()
--- a/tealhook/http/server.py
+++ b/tealhook/http/server.py
@@ -67,7 +67,7 @@
         self._step()
 
     def _step(self) -> None:
-        if self._busy or self._stream.closed:
+        if self._busy or self._stream.is_closed:
             return
         try:
             request = self._parser.next()
@@ -156,7 +156,7 @@
             if len(self._connections) >= self._max and not self._evict():
                 sock.close()
                 continue
-            connection = _Connection(self, Stream(self.loop, sock, max_out=MAX_OUT))
+            connection = _Connection(self, Stream(self.loop, sock, max_unsent_bytes=MAX_OUT))
             self._connections[connection] = None
 
     @property
--- a/tealhook/jobs/index.py
+++ b/tealhook/jobs/index.py
@@ -68,7 +68,7 @@
     @property
     def synced(self) -> bool:
         """Whether all records have been read once: before, a job that is lacking may well be active."""
-        return self.watcher.synced
+        return self.watcher.is_synced
 
     # -- the status of jobs
 
--- a/tealhook/loop/__init__.py
+++ b/tealhook/loop/__init__.py
@@ -1,6 +1,6 @@
 """The loop on `selectors`, its timers, and token buckets."""
 
-from tealhook.loop.bucket import TokenBucket
 from tealhook.loop.loop import Loop, Timer
+from tealhook.loop.token_bucket import TokenBucket
 
 __all__ = ["Loop", "Timer", "TokenBucket"]
--- a/tealhook/loop/effects.py
+++ b/tealhook/loop/effects.py
@@ -10,7 +10,7 @@
 # reckoned from it are sent to other controllers.
 LONG_AGO_S = -1e9
 
-Answer = Callable[[int | None, bytes], Any]
+OnAnswer = Callable[[int | None, bytes], Any]
 
 
 class Cancellable(Protocol):
@@ -38,15 +38,15 @@
         """Make a call after `delay` seconds, never before the present callback has returned."""
         ...
 
-    def state(self, method: str, target: str, body: bytes | None, timeout: float, answer: Answer) -> None:
+    def state(self, method: str, target: str, body: bytes | None, timeout: float, answer: OnAnswer) -> None:
         """Call the state service."""
         ...
 
-    def cloud(self, method: str, target: str, body: bytes | None, timeout: float, answer: Answer) -> None:
+    def cloud(self, method: str, target: str, body: bytes | None, timeout: float, answer: OnAnswer) -> None:
         """Call the cloud."""
         ...
 
-    def worker(self, addr: str, method: str, target: str, body: bytes | None, timeout: float, answer: Answer) -> None:
+    def worker(self, addr: str, method: str, target: str, body: bytes | None, timeout: float, answer: OnAnswer) -> None:
         """Call the worker at `addr`."""
         ...
 
--- a/tealhook/loop/stream.py
+++ b/tealhook/loop/stream.py
@@ -34,15 +34,17 @@
 class Stream:
     """One connection. `on_data(bytes)` for what arrives; `on_close()` once, however it ends."""
 
-    def __init__(self, loop: Loop, sock: socket.socket, *, connecting: bool = False, max_out: int = 8 << 20) -> None:
-        """`connecting`: the connection is still being made; `max_out`: most bytes that may wait to be sent."""
+    def __init__(
+        self, loop: Loop, sock: socket.socket, *, connecting: bool = False, max_unsent_bytes: int = 8 << 20
+    ) -> None:
+        """`connecting`: the connection is still being made; `max_unsent_bytes`: most bytes that may wait to be sent."""
         self._loop = loop
         self._sock = sock
         self._out = bytearray()
-        self._max_out = max_out
+        self._max_unsent_bytes = max_unsent_bytes
         self._connecting = connecting
         self._closing = False
-        self.closed = False
+        self.is_closed = False
         self.on_data: Callable[[bytes], None] = lambda _data: None
         self.on_close: Callable[[], None] = lambda: None
         try:
@@ -53,7 +55,7 @@
         self._update_events()
 
     @classmethod
-    def connect(cls, loop: Loop, addr: str, max_out: int = 8 << 20) -> Stream | None:
+    def connect(cls, loop: Loop, addr: str, max_unsent_bytes: int = 8 << 20) -> Stream | None:
         """Begin to connect; None when no socket could be had or the address refuses at once."""
         try:
             sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
@@ -65,12 +67,12 @@
         if code not in (0, errno.EINPROGRESS):
             sock.close()
             return None
-        return cls(loop, sock, connecting=code != 0, max_out=max_out)
+        return cls(loop, sock, connecting=code != 0, max_unsent_bytes=max_unsent_bytes)
 
     @property
-    def connected(self) -> bool:
+    def is_connected(self) -> bool:
         """Whether the connection is made and not closed yet."""
-        return not self._connecting and not self.closed
+        return not self._connecting and not self.is_closed
 
     def _update_events(self) -> None:
         events = selectors.EVENT_READ
@@ -81,7 +83,7 @@
             self._loop.watch(self._sock, events, self._ready)
 
     def _ready(self, events: int) -> None:
-        if self.closed:
+        if self.is_closed:
             return
         if self._connecting and events & selectors.EVENT_WRITE:
             if self._sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR):
@@ -90,9 +92,9 @@
             self._connecting = False
         if events & selectors.EVENT_WRITE:
             self._flush()
-        if events & selectors.EVENT_READ and not self.closed and not self._connecting:
+        if events & selectors.EVENT_READ and not self.is_closed and not self._connecting:
             self._read()
-        if not self.closed:
+        if not self.is_closed:
             self._update_events()
 
     def _read(self) -> None:
@@ -123,15 +125,15 @@
 
     def write(self, data: bytes) -> None:
         """Send `data`; a peer that does not read is cut off once too much is waiting for it."""
-        if self.closed:
+        if self.is_closed:
             return
-        if len(self._out) + len(data) > self._max_out:
+        if len(self._out) + len(data) > self._max_unsent_bytes:
             self.close()
             return
         self._out += data
         if not self._connecting:
             self._flush()
-        if not self.closed:
+        if not self.is_closed:
             self._update_events()
 
     def finish(self) -> None:
@@ -142,9 +144,9 @@
 
     def close(self) -> None:
         """Close at once, dropping unsent bytes; `on_close` is called the first time only."""
-        if self.closed:
+        if self.is_closed:
             return
-        self.closed = True
+        self.is_closed = True
         self._loop.unwatch(self._sock)
         self._sock.close()
         self.on_close()
--- a/tealhook/loop/bucket.py
+++ b/tealhook/loop/token_bucket.py
@@ -41,7 +41,7 @@
         self._tokens -= count
         return True
 
-    def wait(self, count: float, now: float, keep: float = 0.0) -> float:
+    def seconds_until_available(self, count: float, now: float, keep: float = 0.0) -> float:
         """Seconds until `take` of the same amount may succeed."""
         self._refill(now)
         goal = min(count + keep, self.burst)
--- a/tealhook/mesh/transport.py
+++ b/tealhook/mesh/transport.py
@@ -95,10 +95,10 @@
         connection = self._connections.get(peer)
         if connection is None:
             return None
-        if not connection.connected and self._loop.now() - self._connecting_since[peer] > self._connect_timeout_s:
+        if not connection.is_connected and self._loop.now() - self._connecting_since[peer] > self._connect_timeout_s:
             connection.close()
             return None
-        return None if connection.closed else connection
+        return None if connection.is_closed else connection
 
     def _connect(self, peer: str) -> Stream | None:
         connection = Stream.connect(self._loop, self._peers[peer], MAX_QUEUED)
--- a/tealhook/runtime.py
+++ b/tealhook/runtime.py
@@ -12,7 +12,7 @@
 from tealhook.controller import Controller
 from tealhook.http import HttpClient, HttpServer
 from tealhook.loop import Loop, Timer
-from tealhook.loop.effects import Answer
+from tealhook.loop.effects import OnAnswer
 from tealhook.mesh.transport import MeshTransport
 from tealhook.settings import Policy, Settings
 from tealhook.wire.workers import HEARTBEAT_PATH
@@ -63,15 +63,15 @@
         """Make a call after `delay` seconds."""
         return self.loop.later(delay, call)
 
-    def state(self, method: str, target: str, body: bytes | None, timeout: float, answer: Answer) -> None:
+    def state(self, method: str, target: str, body: bytes | None, timeout: float, answer: OnAnswer) -> None:
         """Call the state service."""
         self._state.request(method, target, body, timeout, answer)
 
-    def cloud(self, method: str, target: str, body: bytes | None, timeout: float, answer: Answer) -> None:
+    def cloud(self, method: str, target: str, body: bytes | None, timeout: float, answer: OnAnswer) -> None:
         """Call the cloud; one idle connection is kept."""
         self._cloud.request(method, target, body, timeout, answer)
 
-    def worker(self, addr: str, method: str, target: str, body: bytes | None, timeout: float, answer: Answer) -> None:
+    def worker(self, addr: str, method: str, target: str, body: bytes | None, timeout: float, answer: OnAnswer) -> None:
         """Call a worker. At most `max_worker_calls` of them have connections; an idle one makes way for a new one."""
         client = self._workers.pop(addr, None)
         if client is None:
--- a/tealhook/scheduling/job_committer.py
+++ b/tealhook/scheduling/job_committer.py
@@ -139,7 +139,7 @@
     def _send_batch(self, pending: list[PendingJob], priority: CallPriority) -> None:
         """Send one transaction with as many of the jobs as fit into it, or wait for write tokens."""
         max_operations = min(self._store.max_operations, max(2, self._store.available_writes(priority)))
-        wait_s = self._store.write_wait(2, priority)
+        wait_s = self._store.estimate_write_wait_s(2, priority)
         self.is_backlogged = wait_s > 0 and priority is CallPriority.ASSIGN
         if wait_s > 0:
             self.schedule_commit(max(MIN_TOKEN_WAIT_S, wait_s))
--- a/tealhook/scheduling/job_writes.py
+++ b/tealhook/scheduling/job_writes.py
@@ -153,7 +153,7 @@
 
     def _chunk_limits(self, job: Job) -> ChunkLimits:
         """Return the limits of one write of a job, halved for each rejection up to `MAX_LIMIT_HALVINGS` times."""
-        max_bytes = min(self._store.record_bytes, MAX_TRANSACTION_BYTES / 2)
+        max_bytes = min(self._store.max_record_bytes, MAX_TRANSACTION_BYTES / 2)
         max_chunks = min(self._store.max_operations, int(MAX_TRANSACTION_BYTES / max_bytes))
         if job.rejections:
             halvings = min(job.rejections, MAX_LIMIT_HALVINGS)
--- a/tealhook/state_store/client.py
+++ b/tealhook/state_store/client.py
@@ -10,7 +10,7 @@
 import msgspec
 
 from tealhook.context import NodeContext
-from tealhook.loop.effects import Answer
+from tealhook.loop.effects import OnAnswer
 from tealhook.state_store.request_queue import (
     TOO_MANY_REQUESTS,
     UNAVAILABLE,
@@ -59,65 +59,65 @@
         super().__init__(context)
         limits = context.settings.params.state.least
         self.max_operations = limits.txn_ops
-        self.value_bytes = int(limits.value_kb * 1024)
+        self.max_value_bytes = int(limits.value_kb * 1024)
 
     # -- reads
 
     @property
-    def record_bytes(self) -> float:
+    def max_record_bytes(self) -> float:
         """How large the value of a record may be laid out."""
-        return RECORD_SHARE * self.value_bytes
+        return RECORD_SHARE * self.max_value_bytes
 
     def get(
         self,
         key: str,
-        done: OnRead,
+        on_done: OnRead,
         priority: CallPriority = CallPriority.ADMIT,
-        wait: float = 1.0,
-        timeout: float = CALL_TIMEOUT_S,
+        queue_timeout_s: float = 1.0,
+        answer_timeout_s: float = CALL_TIMEOUT_S,
     ) -> None:
         """Read one key. `wait`: seconds for tokens, `timeout`: seconds for the answer, here and below."""
 
         def answer(status: int | None, body: bytes) -> None:
-            done(_parse_read(status, body))
+            on_done(_parse_read(status, body))
 
-        self._get(priority, "/store/" + quote(key, safe="/"), wait, timeout, answer)
+        self._get(priority, "/store/" + quote(key, safe="/"), queue_timeout_s, answer_timeout_s, answer)
 
     def list(
         self,
         prefix: str,
-        done: OnList,
-        page: int = LIST_PAGE_SIZE,
+        on_done: OnList,
+        page_size: int = LIST_PAGE_SIZE,
         priority: CallPriority = CallPriority.ASSIGN,
-        wait: float = 5.0,
-        timeout: float = 2 * CALL_TIMEOUT_S,
+        queue_timeout_s: float = 5.0,
+        answer_timeout_s: float = 2 * CALL_TIMEOUT_S,
     ) -> None:
-        """Read all key-values below a prefix, page by page; `done` also gets the revision of the first page."""
+        """Read all key-values below a prefix, page by page; `on_done` also gets the revision of the first page."""
         items: list[wire.KeyValue] = []
         revisions: list[int] = []  # of the pages
 
         def answer(status: int | None, body: bytes) -> None:
             if status != OK:
-                done(None, 0)
+                on_done(None, 0)
                 return
             try:
                 reply = wire.key_range_decoder.decode(body)
             except msgspec.DecodeError as exc:
                 log.error("state store: malformed answer to a list: %s", exc)
-                done(None, 0)
+                on_done(None, 0)
                 return
             items.extend(reply.items)
             revisions.append(reply.revision)
             if reply.more and reply.items:
                 request_page(reply.items[-1].key)
             else:
-                done(items, revisions[0])
+                on_done(items, revisions[0])
 
         def request_page(after: str) -> None:
-            target = f"/store?starts={quote(prefix, safe='/')}&page={page}"
+            target = f"/store?starts={quote(prefix, safe='/')}&page={page_size}"
             if after:
                 target += f"&after={quote(after, safe='/')}"
-            self._get(priority, target, wait, timeout, answer)
+            self._get(priority, target, queue_timeout_s, answer_timeout_s, answer)
 
         request_page("")
 
@@ -126,7 +126,7 @@
         prefix: str,
         after: int,
         wait_s: float,
-        done: OnWatch,
+        on_done: OnWatch,
         *,
         priority: CallPriority = CallPriority.ADMIT,
         queue_timeout_s: float = 5.0,
@@ -139,13 +139,15 @@
         """
 
         def answer(status: int | None, body: bytes) -> None:
-            done(_parse_watch(status, body))
+            on_done(_parse_watch(status, body))
 
         target = f"/watch?starts={quote(prefix, safe='/')}&after={after}&wait_ms={int(wait_s * 1000)}"
         self._get(priority, target, queue_timeout_s, wait_s + answer_timeout_s, answer)
 
-    def _get(self, priority: CallPriority, target: str, wait: float, timeout: float, answer: Answer) -> None:
-        self.submit(priority, StateRequest("GET", target, None, 0, wait, timeout, answer))
+    def _get(
+        self, priority: CallPriority, target: str, queue_timeout_s: float, answer_timeout_s: float, answer: OnAnswer
+    ) -> None:
+        self.submit(priority, StateRequest("GET", target, None, 0, queue_timeout_s, answer_timeout_s, answer))
 
     # -- writes
 
@@ -154,46 +156,49 @@
         conditions: wire.Conditions,
         operations: Sequence[wire.Operation],
         priority: CallPriority,
-        done: OnTransaction,
-        wait: float = 1.0,
-        timeout: float = CALL_TIMEOUT_S,
+        on_done: OnTransaction,
+        queue_timeout_s: float = 1.0,
+        answer_timeout_s: float = CALL_TIMEOUT_S,
     ) -> None:
         """Compare and swap: execute all operations, or none where a condition fails."""
 
         def answer(status: int | None, body: bytes) -> None:
-            done(_parse_transaction(status, body))
+            on_done(_parse_transaction(status, body))
 
         body = wire.encode_transaction(conditions, operations)
-        self.submit(priority, StateRequest("POST", "/txn", body, max(1, len(operations)), wait, timeout, answer))
+        self.submit(
+            priority,
+            StateRequest("POST", "/txn", body, max(1, len(operations)), queue_timeout_s, answer_timeout_s, answer),
+        )
 
     # -- leases
 
-    def grant_lease(self, ttl_s: float, done: Callable[[int | None], Any]) -> None:
-        """Create a lease that expires `ttl_s` after its last renewal; `done(lease id, or None without an answer)`."""
+    def grant_lease(self, ttl_s: float, on_done: Callable[[int | None], Any]) -> None:
+        """Create a lease that expires `ttl_s` after its last renewal; `on_done` is passed its id, or None."""
 
         def answer(status: int | None, body: bytes) -> None:
-            done(_parse_lease(status, body))
+            on_done(_parse_lease(status, body))
 
         body = encode_json({"ttl_ms": int(ttl_s * 1000)})
         self.submit(CallPriority.RENEW, StateRequest("POST", "/grants", body, 0, 1.0, CALL_TIMEOUT_S, answer))
 
-    def renew_lease(self, lease_id: int, timeout: float, done: Callable[[RenewalOutcome], Any]) -> None:
+    def renew_lease(self, lease_id: int, answer_timeout_s: float, on_done: Callable[[RenewalOutcome], Any]) -> None:
         """Renew a lease for its whole time to live."""
 
         def answer(status: int | None, _body: bytes) -> None:
             if status == OK:
-                done(RenewalOutcome.RENEWED)
+                on_done(RenewalOutcome.RENEWED)
             else:
-                done(RenewalOutcome.EXPIRED if status == NOT_FOUND else RenewalOutcome.UNKNOWN)
+                on_done(RenewalOutcome.EXPIRED if status == NOT_FOUND else RenewalOutcome.UNKNOWN)
 
         target = f"/grants/{lease_id}/renew"
-        self.submit(CallPriority.RENEW, StateRequest("POST", target, b"{}", 0, 0.5, timeout, answer))
+        self.submit(CallPriority.RENEW, StateRequest("POST", target, b"{}", 0, 0.5, answer_timeout_s, answer))
 
-    def revoke_lease(self, lease_id: int, done: Callable[[bool], Any]) -> None:
-        """Delete a lease and with it every key under it; `done(whether it certainly exists no more)`."""
+    def revoke_lease(self, lease_id: int, on_done: Callable[[bool], Any]) -> None:
+        """Delete a lease and with it every key under it; `on_done(whether it certainly exists no more)`."""
 
         def answer(status: int | None, _body: bytes) -> None:
-            done(status in (OK, NO_CONTENT, NOT_FOUND))
+            on_done(status in (OK, NO_CONTENT, NOT_FOUND))
 
         target = f"/grants/{lease_id}"
         self.submit(CallPriority.RENEW, StateRequest("DELETE", target, None, 0, 1.0, CALL_TIMEOUT_S, answer))
--- a/tealhook/state_store/read_index.py
+++ b/tealhook/state_store/read_index.py
@@ -36,9 +36,9 @@
         self._sent_at = LONG_AGO_S
         self._in_flight = 0
 
-    def read(self, done: OnRefresh) -> None:
+    def read(self, on_done: OnRefresh) -> None:
         """Bring the view up to date, by one request for all reads that arrive at about the same time."""
-        self._waiting.append(done)
+        self._waiting.append(on_done)
         self._schedule()
 
     def _schedule(self) -> None:
@@ -66,8 +66,8 @@
             if self._timer is not None:  # it was set in case that this request was slow
                 self._timer.cancel()
                 self._timer = None
-            for done in served:
-                done(fresh)
+            for on_done in served:
+                on_done(fresh)
             self._schedule()
 
         self._watcher.refresh(self._timeout_s, refreshed)
--- a/tealhook/state_store/request_queue.py
+++ b/tealhook/state_store/request_queue.py
@@ -10,7 +10,7 @@
 
 from tealhook.context import NodeContext
 from tealhook.loop import TokenBucket
-from tealhook.loop.effects import LONG_AGO_S, Answer
+from tealhook.loop.effects import LONG_AGO_S, OnAnswer
 
 log = logging.getLogger(__name__)
 
@@ -60,7 +60,7 @@
     write_count: int  # operations that count against the limit of writes
     queue_timeout_s: float
     timeout_s: float  # for the answer, from the moment at which the request is sent
-    answer: Answer
+    answer: OnAnswer
 
 
 @dataclass(slots=True)
@@ -88,8 +88,8 @@
         self._writes = TokenBucket(1.0, 1.0, now)
         self._queues: dict[CallPriority, deque[_QueuedRequest]] = {priority: deque() for priority in CallPriority}
         self._pump_scheduled = False
-        self.answered_at = LONG_AGO_S  # when the store last answered, other than that it is unavailable
-        self.failed_at = LONG_AGO_S  # when a request last got no answer, or that the store is unavailable
+        self.last_answered_at = LONG_AGO_S  # when the store last answered, other than that it is unavailable
+        self.last_failed_at = LONG_AGO_S  # when a request last got no answer, or that the store is unavailable
         self.set_share(max(1, context.settings.params.nodes), None)
 
     def set_share(self, live_node_count: int, owned_team_share: float | None) -> None:
@@ -123,7 +123,7 @@
     @property
     def is_served(self) -> bool:
         """Whether the last request to the state store got an answer other than that it is unavailable."""
-        return self.answered_at > self.failed_at
+        return self.last_answered_at > self.last_failed_at
 
     def available_writes(self, priority: CallPriority) -> int:
         """Write operations that could be sent at once at this priority."""
@@ -131,16 +131,18 @@
             return 0
         return int(self._writes.level(self._effects.now()) - RESERVED_SHARE[priority] * self._writes.burst)
 
-    def write_wait(self, count: int, priority: CallPriority) -> float:
+    def estimate_write_wait_s(self, count: int, priority: CallPriority) -> float:
         """Seconds until `count` write operations could be sent at this priority, if nothing else is sent."""
-        return self._writes.wait(count, self._effects.now(), RESERVED_SHARE[priority] * self._writes.burst)
+        return self._writes.seconds_until_available(
+            count, self._effects.now(), RESERVED_SHARE[priority] * self._writes.burst
+        )
 
-    def backlog(self, priority: CallPriority) -> float:
+    def estimate_queue_wait_s(self, priority: CallPriority) -> float:
         """Seconds that a write submitted now would wait for tokens."""
         queued = sum(
             entry.request.write_count for level in CallPriority if level <= priority for entry in self._queues[level]
         )
-        return self.write_wait(queued + 1, priority)
+        return self.estimate_write_wait_s(queued + 1, priority)
 
     def submit(self, priority: CallPriority, request: StateRequest) -> None:
         """Queue a request, and send it at once if the rate limits allow that."""
@@ -183,13 +185,13 @@
     def _take_tokens(self, request: StateRequest, reserved_share: float, now: float) -> float:
         """Take a request's tokens and return 0, or take none and return the seconds until all are there."""
         reserved_requests = reserved_share * self._requests.burst
-        wait = self._requests.wait(1, now, reserved_requests)
+        wait = self._requests.seconds_until_available(1, now, reserved_requests)
         if not request.write_count:
             if wait <= 0:
                 self._requests.take(1, now, reserved_requests)
             return wait
         reserved_writes = reserved_share * self._writes.burst
-        wait = max(wait, self._writes.wait(request.write_count, now, reserved_writes))
+        wait = max(wait, self._writes.seconds_until_available(request.write_count, now, reserved_writes))
         if wait <= 0:
             self._requests.take(1, now, reserved_requests)
             self._writes.take(request.write_count, now, reserved_writes)
@@ -205,9 +207,9 @@
     def _record_answer(self, status: int | None, now: float) -> None:
         """Learn from the status of an answer whether the store is available and whether its limits are exceeded."""
         if status is None or status == UNAVAILABLE:
-            self.failed_at = now
+            self.last_failed_at = now
             return
-        self.answered_at = now
+        self.last_answered_at = now
         self._adjust_pace(status == TOO_MANY_REQUESTS, now)
         if status == TOO_MANY_REQUESTS:
             self._requests.drain(now)
--- a/tealhook/state_store/watcher.py
+++ b/tealhook/state_store/watcher.py
@@ -15,7 +15,7 @@
 MAX_RETRY_S = 1.0
 REFRESH_QUEUE_TIMEOUT_S = 1.0  # for tokens
 AVAILABLE_WAITS = 4  # times the hold-open time of a watch: a store that has answered anything within it is available
-LIST_AFTER = 3  # watches in a row without an answer, while the store answers other requests
+RELIST_AFTER_FAILURES = 3  # watches in a row without an answer, while the store answers other requests
 
 
 class Watcher:
@@ -48,7 +48,7 @@
         self._revision = 0
         self._failures = 0  # lists and watches without an answer, in a row
         self.viewed_at = LONG_AGO_S
-        self.synced = False  # whether the keys have been listed
+        self.is_synced = False  # whether the keys have been listed
 
     def start(self) -> None:
         """List the keys, then follow their changes for as long as the process runs."""
@@ -58,8 +58,8 @@
         """Seconds since the view was certainly complete."""
         return self._effects.now() - self.viewed_at
 
-    def refresh(self, timeout_s: float, done: Callable[[bool], Any]) -> None:
-        """Bring the view up to date with one request; `done(whether it shows all that was committed before)`."""
+    def refresh(self, timeout_s: float, on_done: Callable[[bool], Any]) -> None:
+        """Bring the view up to date with one request; `on_done(whether it shows all that was committed before)`."""
         sent_at = self._effects.now()
 
         def answered(result: WatchResult) -> None:
@@ -67,7 +67,7 @@
                 self._apply(result.reply, sent_at)
             # An answer that waited in a buffer while this process was suspended is as old as the suspension is long.
             is_recent = self._effects.now() - sent_at <= timeout_s + REFRESH_QUEUE_TIMEOUT_S
-            done(result.reply is not None and is_recent)
+            on_done(result.reply is not None and is_recent)
 
         self._store.watch(
             self._prefix,
@@ -89,8 +89,8 @@
 
     def _should_list_anew(self) -> bool:
         """Whether watches go unanswered though the store has answered other requests lately, so it is reachable."""
-        is_available = self._effects.now() - self._store.answered_at < AVAILABLE_WAITS * self._wait_s
-        return self._failures >= LIST_AFTER and is_available
+        is_available = self._effects.now() - self._store.last_answered_at < AVAILABLE_WAITS * self._wait_s
+        return self._failures >= RELIST_AFTER_FAILURES and is_available
 
     def _retry(self, call: Callable[[], Any]) -> None:
         self._failures += 1
@@ -100,23 +100,23 @@
     def _list(self) -> None:
         sent_at = self._effects.now()
 
-        def done(items: list[wire.KeyValue] | None, revision: int) -> None:
+        def on_done(items: list[wire.KeyValue] | None, revision: int) -> None:
             if items is None:
                 self._retry(self._list)
                 return
             self._failures = 0
             self._revision = revision
             self.viewed_at = sent_at
-            self.synced = True
+            self.is_synced = True
             self._on_snapshot(items)
             self._watch()
 
-        self._store.list(self._prefix, done)
+        self._store.list(self._prefix, on_done)
 
     def _watch(self) -> None:
         sent_at = self._effects.now()
 
-        def done(result: WatchResult) -> None:
+        def on_done(result: WatchResult) -> None:
             if result.outcome is WatchOutcome.COMPACTED:
                 self._list()
                 return
@@ -126,4 +126,4 @@
             self._apply(result.reply, sent_at)
             self._watch()
 
-        self._store.watch(self._prefix, self._revision, self._wait_s, done)
+        self._store.watch(self._prefix, self._revision, self._wait_s, on_done)
--- a/tests/test_large_fleet.py
+++ b/tests/test_large_fleet.py
@@ -22,7 +22,7 @@
 from tealhook.partitions.partition import Partition
 from tealhook.partitions.state import PartitionState
 from tealhook.partitions.worker_calls import WorkerCalls
-from tealhook.state_store.watcher import LIST_AFTER
+from tealhook.state_store.watcher import RELIST_AFTER_FAILURES
 from tealhook.wire import mesh, workers
 from tealhook.wire.job_parser import parse_job
 from tests.api_client import SUBMISSION_FIELDS, submission_body
@@ -285,7 +285,7 @@
 def test_records_are_listed_when_watch_answer_never_arrives(listed, monkeypatch):
     """Guards against a node that repeats a watch whose response is too large for it, and never learns of any job."""
     if not listed:
-        monkeypatch.setattr("tealhook.state_store.watcher.LIST_AFTER", 10**9)
+        monkeypatch.setattr("tealhook.state_store.watcher.RELIST_AFTER_FAILURES", 10**9)
     cluster = SimulatedCluster(97, nodes=1)
     cluster.run(15.0)
     original_handle = cluster.state.handle
@@ -299,7 +299,7 @@
     node = cluster.controllers["n0"]
     cluster.state.handle = handle
     job = cluster.submit(plays=1, expected_s=2.0, **UNIFORM_JOB)
-    cluster.run(2.0 * LIST_AFTER + 20.0)
+    cluster.run(2.0 * RELIST_AFTER_FAILURES + 20.0)
     assert (node.job_index.watcher.age() < 8.0) == listed
     assert not listed or cluster.jobs[job].accepted
 
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -238,7 +238,7 @@
     cluster.cloud.capacity_per_pool = 50
     for node in cluster.node_names:  # until they crash, they write within the larger limits, as in production
         store = cluster.controllers[node].state_client
-        store.max_operations, store.value_bytes = 16, 8192
+        store.max_operations, store.max_value_bytes = 16, 8192
     for i in range(5):
         cluster.call_later(
             3.0 * i,
@@ -355,7 +355,7 @@
     """Submit bookkeeping writes for some seconds, and return how many requests were sent."""
     sent = len(effects.calls)
     for _ in range(seconds * 50):
-        store.transact({}, [{"drop": "a"}], CallPriority.BOOKKEEPING, lambda *_: None, wait=0.1)
+        store.transact({}, [{"drop": "a"}], CallPriority.BOOKKEEPING, lambda *_: None, queue_timeout_s=0.1)
         effects.run(effects.time + 0.02)
     return len(effects.calls) - sent
 
--- a/tests/test_machine_type_records.py
+++ b/tests/test_machine_type_records.py
@@ -96,7 +96,7 @@
 class _FaultyStateStore:
     """A state store that executes some transactions late, and gives no answer to some."""
 
-    value_bytes, max_operations = 717, 2
+    max_value_bytes, max_operations = 717, 2
 
     def __init__(self, rng: random.Random, check: Callable[[], None]) -> None:
         self.rng, self.check = rng, check
@@ -113,7 +113,7 @@
         assert len(operations) <= self.max_operations and len(conditions) <= 4 * self.max_operations
         # The operations as the state store reads them.
         operations = [msgspec.json.decode(encode_json(operation)) for operation in operations]
-        assert all(len(encode_json(op["v"])) <= self.value_bytes for op in operations if "write" in op)
+        assert all(len(encode_json(op["v"])) <= self.max_value_bytes for op in operations if "write" in op)
         if self.rng.random() < self.fault_share:
             self.execute_random_late_transaction()
         if self.rng.random() < self.fault_share:
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -104,7 +104,7 @@
         taken += bucket.take(1, now)
         assert taken <= 10.0 + 10.0 * now + 1e-6
     assert taken > 190
-    assert bucket.wait(5, now) > 0 and not bucket.take(5, now, keep=6)
+    assert bucket.seconds_until_available(5, now) > 0 and not bucket.take(5, now, keep=6)
 
 
 @pytest.mark.parametrize("flag", ["starving", "can_preempt"])
--- a/tests/test_read_index.py
+++ b/tests/test_read_index.py
@@ -109,7 +109,7 @@
 
 
 def _answer_from_stale_view(patch):
-    patch.setattr(ReadIndex, "read", lambda self, done: done(True))
+    patch.setattr(ReadIndex, "read", lambda self, on_done: on_done(True))
 
 
 def test_answering_without_read_index_violates_consistency(monkeypatch):
--- a/tests/test_resubmission.py
+++ b/tests/test_resubmission.py
@@ -115,7 +115,7 @@
     client = ApiClient(48, nodes=1)
     client.cluster.run(20.0)
     store = client.cluster.controllers["n0"].state_client
-    store.backlog = lambda priority: 7.5
+    store.estimate_queue_wait_s = lambda priority: 7.5
     store.get = lambda *args: pytest.fail("read")
     for body in bodies_with_job_id("req-1"):
         status, _answer, after, _took = client.request("POST", "/work", body)
