--- a/tealhook/admission/cancellations.py
+++ b/tealhook/admission/cancellations.py
@@ -10,7 +10,7 @@
 from tealhook.jobs.index import JobIndex
 from tealhook.jobs.job_records import JobState
 from tealhook.jobs.record_store import JobRecordStore
-from tealhook.state_store import CallPriority, Outcome, ReadOutcome
+from tealhook.state_store import CallPriority, ReadOutcome, TransactionOutcome
 from tealhook.wire.common import encode_json, error_body
 from tealhook.wire.users import JobStatus, valid_job_id
 
@@ -54,10 +54,10 @@
         self._reader.fetch_record(job, cancel_read)
 
     def _write_cancellation(self, job: str, team: str, mod_revision: int, reply: Reply, retries: int) -> None:
-        def written(outcome: Outcome, _uncertain: list[str]) -> None:
-            if outcome is Outcome.COMMITTED:
+        def written(outcome: TransactionOutcome, _uncertain: list[str]) -> None:
+            if outcome is TransactionOutcome.COMMITTED:
                 reply(HTTPStatus.OK, encode_json(JobStatus(job, JobState.CANCELLED)))
-            elif outcome in (Outcome.REFUSED, Outcome.REJECTED) or retries <= 0:
+            elif outcome in (TransactionOutcome.REFUSED, TransactionOutcome.REJECTED) or retries <= 0:
                 self._responder.reply_retry(reply, "state service unavailable")
             else:
                 # The job has ended meanwhile, or nobody knows whether this end was written: read again.
--- a/tealhook/admission/submissions.py
+++ b/tealhook/admission/submissions.py
@@ -14,7 +14,7 @@
 from tealhook.http import Reply
 from tealhook.jobs.index import JobIndex
 from tealhook.jobs.job_records import JobState, job_key
-from tealhook.state_store import CallPriority, Outcome, ReadOutcome, StateClient, TransactionResult
+from tealhook.state_store import CallPriority, ReadOutcome, StateClient, TransactionOutcome, TransactionResult
 from tealhook.wire import state as state_wire
 from tealhook.wire.common import error_body
 from tealhook.wire.job_parser import InvalidJobError, parse_job
@@ -119,10 +119,10 @@
         job = submission.job
 
         def written(result: TransactionResult) -> None:
-            if result.outcome is Outcome.COMMITTED:
+            if result.outcome is TransactionOutcome.COMMITTED:
                 self._job_index.apply_record(job, submission.record, result.revision)
                 self._statuses.reply_status(HTTPStatus.CREATED, job, JobState.ACTIVE, reply)
-            elif result.outcome in (Outcome.REFUSED, Outcome.REJECTED):
+            elif result.outcome in (TransactionOutcome.REFUSED, TransactionOutcome.REJECTED):
                 self._responder.reply_retry(reply, "state service unavailable")
             else:
                 # Accepted earlier, or nobody knows whether now: read, never guess.
--- a/tealhook/coordination/claims.py
+++ b/tealhook/coordination/claims.py
@@ -17,7 +17,7 @@
 from tealhook.coordination.ownership_keys import FLEET_KEY, PARTITION_PREFIX, TEAM_PREFIX, node_key
 from tealhook.coordination.ownership_view import OwnershipRecord, OwnershipView, stored_value
 from tealhook.loop.effects import LONG_AGO_S
-from tealhook.state_store import CallPriority, Outcome, StateClient, TransactionResult
+from tealhook.state_store import CallPriority, StateClient, TransactionOutcome, TransactionResult
 from tealhook.wire import state as wire
 
 log = logging.getLogger(__name__)
@@ -125,13 +125,13 @@
 
         def done(result: TransactionResult) -> None:
             self._is_writing = False
-            if result.outcome is Outcome.COMMITTED:
+            if result.outcome is TransactionOutcome.COMMITTED:
                 self._max_claims = min(MAX_CLAIMS, 2 * self._max_claims)
                 self._view.record_claims(keys, OwnershipRecord.parse(value, result.revision))
-            elif result.outcome is Outcome.REJECTED:
+            elif result.outcome is TransactionOutcome.REJECTED:
                 self._max_claims = max(1, len(keys) // 2)
                 self._claim_not_before = self._effects.now() + self._lease_ttl_s / CLAIM_RETRIES_PER_LEASE
-            elif result.outcome is Outcome.CONFLICTED:
+            elif result.outcome is TransactionOutcome.CONFLICTED:
                 remaining = [key for key in keys if key not in result.failed_keys]
                 if remaining and len(remaining) < len(keys):
                     self._claim(remaining)
--- a/tealhook/coordination/versions.py
+++ b/tealhook/coordination/versions.py
@@ -13,7 +13,7 @@
 
 from tealhook.context import NodeContext
 from tealhook.coordination.ownership_keys import NODE_PREFIX, node_key
-from tealhook.state_store import CallPriority, Outcome, StateClient, TransactionResult
+from tealhook.state_store import CallPriority, StateClient, TransactionOutcome, TransactionResult
 from tealhook.wire import state as wire
 
 NODE_VERSION_PREFIX = "version/"
@@ -90,7 +90,7 @@
         self._store.transact(conditions, [wire.put(AGREED_KEY, {"v": VERSION})], CallPriority.ADMIT, self._on_written)
 
     def _on_written(self, result: TransactionResult) -> None:
-        self._schedule_read(0.0 if result.outcome is Outcome.COMMITTED else 0.5)
+        self._schedule_read(0.0 if result.outcome is TransactionOutcome.COMMITTED else 0.5)
 
 
 def _version(value: Any) -> int:
--- a/tealhook/fleet/machine_types.py
+++ b/tealhook/fleet/machine_types.py
@@ -32,7 +32,7 @@
 
 from tealhook.coordination import FLEET_KEY
 from tealhook.scheduling.job_writes import MAX_TRANSACTION_BYTES
-from tealhook.state_store import CallPriority, Outcome, StateClient, TransactionResult
+from tealhook.state_store import CallPriority, StateClient, TransactionOutcome, TransactionResult
 from tealhook.wire import state as state_wire
 from tealhook.wire.cloud import MachineType
 from tealhook.wire.common import encode_json
@@ -269,9 +269,9 @@
         def on_answer(result: TransactionResult) -> None:
             has_first = any(change.key == TYPES_KEY for change in batch)
             present_revision = result.revision if has_first else first_revision
-            if result.outcome is Outcome.COMMITTED and rest:
+            if result.outcome is TransactionOutcome.COMMITTED and rest:
                 self._execute(token, present_revision, rest, done)
             else:
-                done(result.outcome is Outcome.COMMITTED, present_revision)
+                done(result.outcome is TransactionOutcome.COMMITTED, present_revision)
 
         self._store.transact(conditions, [change.operation for change in batch], CallPriority.ADMIT, on_answer)
--- a/tealhook/jobs/record_store.py
+++ b/tealhook/jobs/record_store.py
@@ -15,7 +15,14 @@
 from tealhook.context import NodeContext
 from tealhook.jobs.index import JobIndex
 from tealhook.jobs.job_records import JobRecord, JobState, job_key, parse_record
-from tealhook.state_store import CallPriority, Outcome, ReadOutcome, ReadResult, StateClient, TransactionResult
+from tealhook.state_store import (
+    CallPriority,
+    ReadOutcome,
+    ReadResult,
+    StateClient,
+    TransactionOutcome,
+    TransactionResult,
+)
 from tealhook.state_store.client import CALL_TIMEOUT_S
 from tealhook.wire import state as state_wire
 
@@ -82,7 +89,7 @@
     def end(
         self,
         ends: dict[str, tuple[JobRecord, int]],
-        done: Callable[[Outcome, list[str]], Any],
+        done: Callable[[TransactionOutcome, list[str]], Any],
         wait: float = MAX_QUEUED_S,
         timeout: float = CALL_TIMEOUT_S,
     ) -> None:
@@ -100,11 +107,11 @@
             operations.append(operation)
 
         def on_result(result: TransactionResult) -> None:
-            if result.outcome is Outcome.COMMITTED:
+            if result.outcome is TransactionOutcome.COMMITTED:
                 for job, (record, _mod_revision) in ends.items():
                     self._job_index.apply_record(job, record, result.revision)
                 done(result.outcome, [])
-            elif result.outcome is Outcome.UNKNOWN:
+            elif result.outcome is TransactionOutcome.UNKNOWN:
                 done(result.outcome, list(ends))
             else:
                 done(result.outcome, [job for job in ends if job_key(job) in result.failed_keys])
--- a/tealhook/scheduling/dependencies.py
+++ b/tealhook/scheduling/dependencies.py
@@ -14,7 +14,7 @@
 from tealhook.jobs.job_records import JobRecord, JobState
 from tealhook.jobs.record_store import JobRecordStore
 from tealhook.jobs.team import TeamState
-from tealhook.state_store import Outcome, ReadOutcome, StateClient
+from tealhook.state_store import ReadOutcome, StateClient, TransactionOutcome
 
 log = logging.getLogger(__name__)
 
@@ -92,12 +92,12 @@
             partial(self._on_cancelled, jobs),
         )
 
-    def _on_cancelled(self, jobs: list[str], outcome: Outcome, uncertain: list[str]) -> None:
+    def _on_cancelled(self, jobs: list[str], outcome: TransactionOutcome, uncertain: list[str]) -> None:
         """Handle the outcome of a cancellation: after a failure, re-read the `uncertain` jobs, re-check the others."""
         self._cancelling.difference_update(jobs)
-        if outcome is Outcome.COMMITTED:
+        if outcome is TransactionOutcome.COMMITTED:
             return
-        if outcome is Outcome.REJECTED:
+        if outcome is TransactionOutcome.REJECTED:
             self._max_batch_size = max(1, len(jobs) // 2)
         for job in uncertain:
             self._read_uncertain_job(job)
@@ -105,7 +105,9 @@
         self._due_jobs.update(dict.fromkeys(unchanged))
         if unchanged:
             self._schedule_check_after(
-                self._check_delay_s if outcome is Outcome.CONFLICTED else RETRY_DELAY_FACTOR * self._check_delay_s
+                self._check_delay_s
+                if outcome is TransactionOutcome.CONFLICTED
+                else RETRY_DELAY_FACTOR * self._check_delay_s
             )
 
     def _read_uncertain_job(self, job: str) -> None:
--- a/tealhook/scheduling/job_committer.py
+++ b/tealhook/scheduling/job_committer.py
@@ -19,7 +19,7 @@
 from tealhook.scheduling.interfaces import SchedulerActions
 from tealhook.scheduling.job_writes import CONDITIONS_PER_OPERATION, JobWrite, JobWriteBuilder
 from tealhook.scheduling.read_back import RecordReadBack
-from tealhook.state_store import CallPriority, Outcome, StateClient
+from tealhook.state_store import CallPriority, StateClient, TransactionOutcome
 from tealhook.wire.users import STANDARD_RANK
 
 MAX_JOBS_PER_TRANSACTION = 64
@@ -169,25 +169,27 @@
                 return False
         return True
 
-    def _on_result(self, writes: list[JobWrite], outcome: Outcome, revision: int, failed_keys: list[str]) -> None:
+    def _on_result(
+        self, writes: list[JobWrite], outcome: TransactionOutcome, revision: int, failed_keys: list[str]
+    ) -> None:
         """Apply the outcome of a transaction to its jobs, and schedule the next commit."""
         launches = PendingLaunches()
-        if outcome is Outcome.REJECTED:
+        if outcome is TransactionOutcome.REJECTED:
             self._shrink_batches(writes)
-        elif outcome is Outcome.COMMITTED:
+        elif outcome is TransactionOutcome.COMMITTED:
             self._max_jobs = min(MAX_JOBS_PER_TRANSACTION, 2 * self._max_jobs)
         for write in writes:
             write.job.write_state = WriteState.SETTLED
             if self._teams.get(write.team_state.name) is not write.team_state:
                 continue
-            if outcome is Outcome.COMMITTED:
+            if outcome is TransactionOutcome.COMMITTED:
                 self._outcome_handler.apply_committed(write, revision, launches)
-            elif outcome is Outcome.UNKNOWN:
+            elif outcome is TransactionOutcome.UNKNOWN:
                 self._outcome_handler.apply_unknown(write)
             else:
                 self._outcome_handler.apply_not_executed(write, failed_keys)
         launches.launch_all(self._teams, self._actions)
-        if outcome is Outcome.REFUSED:
+        if outcome is TransactionOutcome.REFUSED:
             self.schedule_commit(REFUSED_RETRY_S)
         else:
             self.schedule_commit()
--- a/tealhook/state_store/__init__.py
+++ b/tealhook/state_store/__init__.py
@@ -3,12 +3,12 @@
 from tealhook.state_store.client import StateClient
 from tealhook.state_store.read_index import ReadIndex
 from tealhook.state_store.request_queue import CallPriority
-from tealhook.state_store.results import Outcome, ReadOutcome, ReadResult, TransactionResult
+from tealhook.state_store.results import ReadOutcome, ReadResult, TransactionOutcome, TransactionResult
 from tealhook.state_store.watcher import Watcher
 
 __all__ = [
     "CallPriority",
-    "Outcome",
+    "TransactionOutcome",
     "ReadIndex",
     "ReadOutcome",
     "ReadResult",
--- a/tealhook/state_store/client.py
+++ b/tealhook/state_store/client.py
@@ -19,10 +19,10 @@
     StateRequest,
 )
 from tealhook.state_store.results import (
-    Outcome,
     ReadOutcome,
     ReadResult,
     RenewalOutcome,
+    TransactionOutcome,
     TransactionResult,
     WatchOutcome,
     WatchResult,
@@ -228,17 +228,21 @@
 def _parse_transaction(status: int | None, body: bytes) -> TransactionResult:
     try:
         if status == OK:
-            return TransactionResult(Outcome.COMMITTED, revision=wire.committed_decoder.decode(body).revision)
+            return TransactionResult(
+                TransactionOutcome.COMMITTED, revision=wire.committed_decoder.decode(body).revision
+            )
         if status == CONFLICT:
-            return TransactionResult(Outcome.CONFLICTED, failed_keys=wire.conflict_decoder.decode(body).failed_keys)
+            return TransactionResult(
+                TransactionOutcome.CONFLICTED, failed_keys=wire.conflict_decoder.decode(body).failed_keys
+            )
     except msgspec.DecodeError as exc:
         log.error("state store: malformed answer to a transaction: %s", exc)
-        return TransactionResult(Outcome.UNKNOWN)
+        return TransactionResult(TransactionOutcome.UNKNOWN)
     if status == BAD_REQUEST:
         return TransactionResult(_parse_bad_request(body))
     # 503 and 429 say that it was not executed; no answer, and any other status, say nothing.
     is_refused = status in (TOO_MANY_REQUESTS, UNAVAILABLE)
-    return TransactionResult(Outcome.REFUSED if is_refused else Outcome.UNKNOWN)
+    return TransactionResult(TransactionOutcome.REFUSED if is_refused else TransactionOutcome.UNKNOWN)
 
 
 def _parse_lease(status: int | None, body: bytes) -> int | None:
@@ -249,9 +253,9 @@
         return None
 
 
-def _parse_bad_request(body: bytes) -> Outcome:
+def _parse_bad_request(body: bytes) -> TransactionOutcome:
     if b"no such lease" in body:  # as after any network partition that outlasts the lease: its renewal handles that
         log.info("state store: transaction refused, its lease has expired: %s", body[:LOGGED_BYTES])
-        return Outcome.REFUSED
+        return TransactionOutcome.REFUSED
     log.error("state store: transaction rejected: %s", body[:LOGGED_BYTES])
-    return Outcome.REJECTED
+    return TransactionOutcome.REJECTED
--- a/tealhook/state_store/results.py
+++ b/tealhook/state_store/results.py
@@ -8,7 +8,7 @@
 from tealhook.wire.state import KeyValue, WatchReply
 
 
-class Outcome(enum.Enum):
+class TransactionOutcome(enum.Enum):
     """Result of a transaction."""
 
     COMMITTED = "committed"  # executed
@@ -22,7 +22,7 @@
 class TransactionResult:
     """Answer to a transaction: all of its operations were executed, or none."""
 
-    outcome: Outcome
+    outcome: TransactionOutcome
     revision: int = 0  # of the transaction, if it was committed
     failed_keys: list[str] = field(default_factory=list)  # whose conditions failed, if it conflicted
 
--- a/tests/test_guards.py
+++ b/tests/test_guards.py
@@ -11,7 +11,7 @@
 from tealhook.scheduling.candidates import CandidateSelector
 from tealhook.scheduling.job_committer import JobCommitter
 from tealhook.scheduling.team_scheduler import TeamState
-from tealhook.state_store import Outcome, StateClient
+from tealhook.state_store import StateClient, TransactionOutcome
 from tealhook.wire import mesh
 from tealhook.wire import workers as wire
 from tealhook.wire.common import Resources
@@ -31,7 +31,13 @@
     whole = JobCommitter._on_result
 
     def guess(self, batch, outcome, epoch, failed):
-        whole(self, batch, Outcome.COMMITTED if outcome is Outcome.UNKNOWN else outcome, epoch, failed)
+        whole(
+            self,
+            batch,
+            TransactionOutcome.COMMITTED if outcome is TransactionOutcome.UNKNOWN else outcome,
+            epoch,
+            failed,
+        )
 
     patch.setattr(JobCommitter, "_on_result", guess)
 
--- a/tests/test_job_records.py
+++ b/tests/test_job_records.py
@@ -9,7 +9,7 @@
 from tealhook.jobs.job import Job
 from tealhook.jobs.job_records import JobRecord, JobState
 from tealhook.jobs.record_store import JobRecordStore, build_end_write
-from tealhook.state_store import CallPriority, Outcome, ReadOutcome, ReadResult, TransactionResult
+from tealhook.state_store import CallPriority, ReadOutcome, ReadResult, TransactionOutcome, TransactionResult
 from tealhook.wire import state as state_wire
 from tealhook.wire.common import encode_json
 from tealhook.wire.state import KeyValue
@@ -89,8 +89,8 @@
             1.5,
         )
     ]
-    store.answer(TransactionResult(Outcome.COMMITTED, revision=12))
-    assert told == [(Outcome.COMMITTED, [], 2)]
+    store.answer(TransactionResult(TransactionOutcome.COMMITTED, revision=12))
+    assert told == [(TransactionOutcome.COMMITTED, [], 2)]
     assert [(job, record.status, version) for job, record, version in index.learned] == [
         ("a", JobState.CANCELLED, 12),
         ("b", JobState.CANCELLED, 12),
@@ -100,10 +100,10 @@
 @pytest.mark.parametrize(
     ("outcome", "failed", "uncertain"),
     [
-        (Outcome.UNKNOWN, [], ["a", "b"]),
-        (Outcome.CONFLICTED, ["job/b"], ["b"]),
-        (Outcome.REFUSED, [], []),
-        (Outcome.REJECTED, [], []),
+        (TransactionOutcome.UNKNOWN, [], ["a", "b"]),
+        (TransactionOutcome.CONFLICTED, ["job/b"], ["b"]),
+        (TransactionOutcome.REFUSED, [], []),
+        (TransactionOutcome.REJECTED, [], []),
     ],
 )
 def test_uncertain_job_end_requires_read_back(outcome, failed, uncertain):
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -14,7 +14,7 @@
 from tealhook.jobs.job_records import parse_record
 from tealhook.settings import SettingsError
 from tealhook.settings.platform import parse_settings
-from tealhook.state_store import CallPriority, Outcome, StateClient
+from tealhook.state_store import CallPriority, StateClient, TransactionOutcome
 from tealhook.wire import mesh as wire
 from tealhook.wire.cloud import MachineTypes
 from tealhook.wire.common import encode_json
@@ -382,11 +382,11 @@
 @pytest.mark.parametrize(
     ("status", "body", "expected"),
     [
-        (400, b'{"error":"no such lease"}', Outcome.REFUSED),
-        (400, b'{"error":"value too large"}', Outcome.REJECTED),
-        (429, b"{}", Outcome.REFUSED),
-        (503, b"{}", Outcome.REFUSED),
-        (None, b"", Outcome.UNKNOWN),
+        (400, b'{"error":"no such lease"}', TransactionOutcome.REFUSED),
+        (400, b'{"error":"value too large"}', TransactionOutcome.REJECTED),
+        (429, b"{}", TransactionOutcome.REFUSED),
+        (503, b"{}", TransactionOutcome.REFUSED),
+        (None, b"", TransactionOutcome.UNKNOWN),
     ],
 )
 def test_transaction_outcomes(status, body, expected):
--- a/tests/test_machine_type_records.py
+++ b/tests/test_machine_type_records.py
@@ -22,7 +22,7 @@
     split_types,
     take_transaction,
 )
-from tealhook.state_store import CallPriority, Outcome, TransactionResult
+from tealhook.state_store import CallPriority, TransactionOutcome, TransactionResult
 from tealhook.wire import state as state_wire
 from tealhook.wire.cloud import MachineType, MachineTypes
 from tealhook.wire.common import encode_json
@@ -121,11 +121,11 @@
                 self.execute(conditions, operations)
             else:
                 self.late_transactions.append((conditions, operations))
-            done(TransactionResult(Outcome.UNKNOWN))
+            done(TransactionResult(TransactionOutcome.UNKNOWN))
         elif self.execute(conditions, operations):
-            done(TransactionResult(Outcome.COMMITTED, revision=self.revision))
+            done(TransactionResult(TransactionOutcome.COMMITTED, revision=self.revision))
         else:
-            done(TransactionResult(Outcome.CONFLICTED))
+            done(TransactionResult(TransactionOutcome.CONFLICTED))
 
     def execute(self, conditions: dict, operations: list) -> bool:
         if any(self.rows.get(key, (None, 0))[1] != revision for key, revision in conditions.items()):
--- a/tests/test_machine_types.py
+++ b/tests/test_machine_types.py
@@ -12,7 +12,7 @@
 import pytest
 
 from tealhook.coordination import FLEET_KEY
-from tealhook.state_store import CallPriority, Outcome, TransactionResult
+from tealhook.state_store import CallPriority, TransactionOutcome, TransactionResult
 from tealhook.wire import state as state_wire
 from tealhook.wire.common import encode_json
 from tests.machine_type_offers import MACHINE_TYPES_KEY, machine_type_names, offered_types
@@ -76,7 +76,7 @@
 
     def store_types(*_args: Any) -> None:
         def on_result(result: TransactionResult) -> None:
-            if result.outcome is Outcome.COMMITTED:
+            if result.outcome is TransactionOutcome.COMMITTED:
                 fleet._stored_signatures = {
                     (machine_type.name, machine_type.vcpus, machine_type.memory_gb, tuple(machine_type.zones))
                     for machine_type in fleet._machine_types.values()
