--- a/tealhook/loop/__init__.py
+++ b/tealhook/loop/__init__.py
@@ -1,4 +1,4 @@
-"""The loop on `selectors`, its timers, and token buckets."""
+"""Event loop with timers, non-blocking streams and token buckets."""
 
 from tealhook.loop.loop import Loop, Timer
 from tealhook.loop.token_bucket import TokenBucket
--- a/tealhook/state_store/__init__.py
+++ b/tealhook/state_store/__init__.py
@@ -1,4 +1,4 @@
-"""The state store: client within the rate limits, watches and linearizable reads."""
+"""Access to the state store: a rate-limited client, watched views and linearizable reads."""
 
 from tealhook.state_store.client import StateClient
 from tealhook.state_store.read_index import ReadIndex
--- a/tealhook/state_store/request_queue.py
+++ b/tealhook/state_store/request_queue.py
@@ -1,4 +1,4 @@
-"""The request queue in front of the state store: priorities, this node's share of the rate limits, and its pace."""
+"""Queue of requests to the state store, with priorities and a share of the rate limits per node."""
 
 from __future__ import annotations
 
@@ -14,32 +14,34 @@
 
 log = logging.getLogger(__name__)
 
-USED_SHARE = 0.92  # of the rate limits; the rest allows for other nodes' unevenness and for clock drift
-EVEN_REQUEST_SHARE = 0.7  # of the requests: divided evenly among live nodes, the rest by the teams they own
-EVEN_WRITE_SHARE = 0.35  # of the writes: likewise
-PACE_INTERVAL_S = 1.0  # between two changes of the pace: the rate limits allow bursts of a second
-MIN_PACE = 0.3
-PACE_DECREASE = 0.8  # factor on each interval in which the store rejected a request as over its rate limits
-PACE_INCREASE = 1.02  # factor on each interval without: slow, so that the nodes do not overuse the limits in turns
-MIN_PUMP_DELAY_S = 0.002  # bounds of the wait until the queue is looked at again
-MAX_PUMP_DELAY_S = 0.25
+USED_RATE_SHARE = 0.92  # of the rate limits; the rest allows for uneven use by other nodes and for clock drift
+# Share of each rate limit that is divided evenly among the live nodes; the rest is divided by owned teams.
+EVEN_SPLIT_REQUEST_SHARE = 0.7
+EVEN_SPLIT_WRITE_SHARE = 0.35
+RATE_ADJUSTMENT_INTERVAL_S = 1.0  # at least; the rate limits allow bursts of one second
+MIN_RATE_FACTOR = 0.3
+RATE_FACTOR_DECREASE = 0.8  # on an answer that the rate limits are exceeded, once per interval
+RATE_FACTOR_INCREASE = 1.02  # on any other answer, once per interval; slow, to avoid oscillation between nodes
+# Bounds of the delay until the next attempt to send queued requests.
+MIN_DISPATCH_DELAY_S = 0.002
+MAX_DISPATCH_DELAY_S = 0.25
 
-# HTTP statuses with a meaning of their own here.
-TOO_MANY_REQUESTS = 429  # over the rate limits: not executed; also reported for requests that expired in the queue
-UNAVAILABLE = 503  # the store has no quorum: not executed
+# HTTP statuses that the queue handles itself.
+TOO_MANY_REQUESTS = 429  # rate limits exceeded, not executed; also reported for requests that time out in the queue
+UNAVAILABLE = 503  # the store has no quorum, not executed
 
 
 class CallPriority(enum.IntEnum):
-    """Which requests are sent first when the rate limits are short; lower values first."""
+    """Priority of a request when the rate limits are exhausted; lower values are sent first."""
 
-    RENEW = 0  # leases and ownership: without them this node loses all that it owns
-    ADMIT = 1  # submissions, cancellations and polls: a user waits for the answer
+    RENEW = 0  # leases and ownership; a node without them loses all that it owns
+    ADMIT = 1  # submissions, cancellations and polls, whose answers users wait for
     ASSIGN = 2  # task assignments
-    BOOKKEEPING = 3  # what may be written later as well
+    BOOKKEEPING = 3  # writes that may be delayed
 
 
-# Share of the token buckets that each priority leaves to the more urgent ones.
-RESERVED_SHARE = {
+# Share of the token buckets that requests of each priority must leave to more urgent ones.
+RESERVED_BUCKET_SHARE = {
     CallPriority.RENEW: 0.0,
     CallPriority.ADMIT: 0.1,
     CallPriority.ASSIGN: 0.25,
@@ -49,169 +51,185 @@
 
 @dataclass(slots=True)
 class StateRequest:
-    """One HTTP request to the state store.
+    """An HTTP request to the state store.
 
-    It is sent within `queue_timeout_s` or not at all; then `answer` is told the status `TOO_MANY_REQUESTS`.
+    If it can't be sent within `queue_timeout_s`, it is dropped and `on_answer` is passed `TOO_MANY_REQUESTS`.
     """
 
     method: str
     target: str
     body: bytes | None
-    write_count: int  # operations that count against the limit of writes
+    write_count: int  # operations that count towards the write rate limit
     queue_timeout_s: float
-    timeout_s: float  # for the answer, from the moment at which the request is sent
-    answer: OnAnswer
+    answer_timeout_s: float  # for the answer, from when the request is sent
+    on_answer: OnAnswer
 
 
 @dataclass(slots=True)
 class _QueuedRequest:
-    """A request that waits for tokens until `deadline`, of our clock."""
+    """A request that waits for tokens until `deadline` on the monotonic clock."""
 
     request: StateRequest
     deadline: float
 
 
 class RequestQueue:
-    """Sends requests to the state store within this node's share of its rate limits, the most urgent first."""
+    """Priority queue that sends requests to the state store within this node's share of the rate limits."""
 
     def __init__(self, context: NodeContext) -> None:
-        """The rate limits come from the settings; at first they are divided evenly among all nodes."""
+        """Initialize an empty queue; at first the rate limits are divided evenly among all nodes."""
         self._effects = context.effects
         limits = context.settings.params.state.least
-        self._rps, self._wps = limits.rps, limits.write_rps
-        self._pace = 1.0  # share of the rate limits that is used: less while the store reports that they are exceeded
-        self._paced_at = LONG_AGO_S
+        self._max_requests_per_s, self._max_writes_per_s = limits.rps, limits.write_rps
+        self._rate_factor = 1.0  # reduced while the store answers that the rate limits are exceeded
+        self._rate_adjusted_at = LONG_AGO_S
         self._live_node_count = 1
         self._owned_team_share: float | None = None
         now = context.effects.now()
-        self._requests = TokenBucket(1.0, 1.0, now)
-        self._writes = TokenBucket(1.0, 1.0, now)
+        self._request_bucket = TokenBucket(1.0, 1.0, now)
+        self._write_bucket = TokenBucket(1.0, 1.0, now)
         self._queues: dict[CallPriority, deque[_QueuedRequest]] = {priority: deque() for priority in CallPriority}
-        self._pump_scheduled = False
-        self.last_answered_at = LONG_AGO_S  # when the store last answered, other than that it is unavailable
-        self.last_failed_at = LONG_AGO_S  # when a request last got no answer, or that the store is unavailable
+        self._is_dispatch_scheduled = False
+        self.last_answered_at = LONG_AGO_S  # last answer other than "unavailable"
+        self.last_failed_at = LONG_AGO_S  # last missing answer or "unavailable"
         self.set_share(max(1, context.settings.params.nodes), None)
 
     def set_share(self, live_node_count: int, owned_team_share: float | None) -> None:
         """Set this node's share of the rate limits.
 
-        `live_node_count` nodes use them, and this one owns `owned_team_share` of all teams (None: nobody owns any).
-        Every node admits jobs and answers polls, so some of the limits is divided evenly; assignments are the work of
-        the teams' owners. An even division of all would starve a node that has taken over the others' teams.
+        The limits are shared by `live_node_count` nodes; `owned_team_share` of all teams belongs to this one (None if
+        no team has an owner). Every node admits jobs and answers polls, so part of each limit is divided evenly. The
+        rest is divided by owned teams, since their owners write the assignments: with an even division of everything, a
+        node that has taken over the teams of others would run out of tokens.
         """
         now = self._effects.now()
         self._live_node_count, self._owned_team_share = live_node_count, owned_team_share
-        even = 1.0 / live_node_count
-        owned = even if owned_team_share is None else owned_team_share
+        even_share = 1.0 / live_node_count
+        owned_share = even_share if owned_team_share is None else owned_team_share
 
-        def share(even_share: float) -> float:
-            return even_share / live_node_count + (1.0 - even_share) * owned
+        def node_share(even_split_share: float) -> float:
+            return even_split_share / live_node_count + (1.0 - even_split_share) * owned_share
 
-        rps = self._rps * USED_SHARE * self._pace * share(EVEN_REQUEST_SHARE)
-        wps = self._wps * USED_SHARE * self._pace * share(EVEN_WRITE_SHARE)
-        self._requests.set_rate(rps, rps, now)
-        self._writes.set_rate(wps, wps, now)
+        requests_per_s = (
+            self._max_requests_per_s * USED_RATE_SHARE * self._rate_factor * node_share(EVEN_SPLIT_REQUEST_SHARE)
+        )
+        writes_per_s = self._max_writes_per_s * USED_RATE_SHARE * self._rate_factor * node_share(EVEN_SPLIT_WRITE_SHARE)
+        self._request_bucket.set_rate(requests_per_s, requests_per_s, now)
+        self._write_bucket.set_rate(writes_per_s, writes_per_s, now)
+
+    def _adjust_rate_factor(self, is_rate_limited: bool, now: float) -> None:
+        """Reduce the request rate while the rate limits are exceeded, and slowly raise it again afterwards.
 
-    def _adjust_pace(self, rate_limited: bool, now: float) -> None:
-        """Slow down while other nodes exceed the rate limits or these were lowered, and speed up again slowly."""
-        if now - self._paced_at < PACE_INTERVAL_S or not rate_limited and self._pace >= 1.0:
+        The limits are exceeded when other nodes use more than their share or when the limits have been lowered.
+        """
+        if (
+            now - self._rate_adjusted_at < RATE_ADJUSTMENT_INTERVAL_S
+            or not is_rate_limited
+            and self._rate_factor >= 1.0
+        ):
             return
-        self._paced_at = now
-        self._pace = max(MIN_PACE, PACE_DECREASE * self._pace) if rate_limited else min(1.0, PACE_INCREASE * self._pace)
+        self._rate_adjusted_at = now
+        self._rate_factor = (
+            max(MIN_RATE_FACTOR, RATE_FACTOR_DECREASE * self._rate_factor)
+            if is_rate_limited
+            else min(1.0, RATE_FACTOR_INCREASE * self._rate_factor)
+        )
         self.set_share(self._live_node_count, self._owned_team_share)
 
     @property
     def is_served(self) -> bool:
-        """Whether the last request to the state store got an answer other than that it is unavailable."""
+        """Whether the last completed request to the state store got an answer other than "unavailable"."""
         return self.last_answered_at > self.last_failed_at
 
     def available_writes(self, priority: CallPriority) -> int:
-        """Write operations that could be sent at once at this priority."""
+        """Return the number of write operations that could be sent at once with this priority."""
         if self._queues[priority]:
             return 0
-        return int(self._writes.level(self._effects.now()) - RESERVED_SHARE[priority] * self._writes.burst)
+        return int(
+            self._write_bucket.level(self._effects.now()) - RESERVED_BUCKET_SHARE[priority] * self._write_bucket.burst
+        )
 
     def estimate_write_wait_s(self, count: int, priority: CallPriority) -> float:
-        """Seconds until `count` write operations could be sent at this priority, if nothing else is sent."""
-        return self._writes.seconds_until_available(
-            count, self._effects.now(), RESERVED_SHARE[priority] * self._writes.burst
+        """Return the seconds until `count` writes could be sent with this priority if nothing else is sent."""
+        return self._write_bucket.seconds_until_available(
+            count, self._effects.now(), RESERVED_BUCKET_SHARE[priority] * self._write_bucket.burst
         )
 
     def estimate_queue_wait_s(self, priority: CallPriority) -> float:
-        """Seconds that a write submitted now would wait for tokens."""
+        """Return the seconds that a write submitted now would wait for tokens behind the queued ones."""
         queued = sum(
             entry.request.write_count for level in CallPriority if level <= priority for entry in self._queues[level]
         )
         return self.estimate_write_wait_s(queued + 1, priority)
 
     def submit(self, priority: CallPriority, request: StateRequest) -> None:
-        """Queue a request, and send it at once if the rate limits allow that."""
+        """Queue a request, and send it at once if the rate limits allow it."""
         self._queues[priority].append(_QueuedRequest(request, self._effects.now() + request.queue_timeout_s))
-        if not self._pump_scheduled:
-            self._pump()
+        if not self._is_dispatch_scheduled:
+            self._dispatch()
 
-    def _pump(self) -> None:
-        """Send what the rate limits allow, by priority, and come back when they allow more."""
-        self._pump_scheduled = False
+    def _dispatch(self) -> None:
+        """Send the queued requests that the rate limits allow, by priority, and schedule the next attempt."""
+        self._is_dispatch_scheduled = False
         now = self._effects.now()
-        shortest: float | None = None
+        shortest_wait_s: float | None = None
         for priority in CallPriority:
-            wait = self._send_queued(priority, now)
-            if wait is not None:
-                shortest = wait if shortest is None else min(shortest, wait)
-        if shortest is not None:
-            self._pump_scheduled = True
-            self._effects.later(min(max(shortest, MIN_PUMP_DELAY_S), MAX_PUMP_DELAY_S), self._pump)
+            wait_s = self._send_queued(priority, now)
+            if wait_s is not None:
+                shortest_wait_s = wait_s if shortest_wait_s is None else min(shortest_wait_s, wait_s)
+        if shortest_wait_s is not None:
+            self._is_dispatch_scheduled = True
+            self._effects.later(min(max(shortest_wait_s, MIN_DISPATCH_DELAY_S), MAX_DISPATCH_DELAY_S), self._dispatch)
 
     def _send_queued(self, priority: CallPriority, now: float) -> float | None:
-        """Send requests of one priority; the wait for the tokens of the first that has to stay, None if none has.
+        """Send requests of one priority; return the seconds until the next one has its tokens, or None if none is left.
 
-        Less urgent requests are still tried after that: one that writes nothing may pass where a large write can't.
+        Less urgent requests are tried even so: a read may be sent while a large write still lacks tokens.
         """
         queue = self._queues[priority]
         while queue:
             request = queue[0].request
             if queue[0].deadline < now:
                 queue.popleft()
-                self._effects.later(0.0, partial(request.answer, TOO_MANY_REQUESTS, b""))
+                self._effects.later(0.0, partial(request.on_answer, TOO_MANY_REQUESTS, b""))
                 continue
-            wait = self._take_tokens(request, RESERVED_SHARE[priority], now)
-            if wait > 0:
-                return wait
+            wait_s = self._take_tokens(request, RESERVED_BUCKET_SHARE[priority], now)
+            if wait_s > 0:
+                return wait_s
             queue.popleft()
             self._send(request)
         return None
 
     def _take_tokens(self, request: StateRequest, reserved_share: float, now: float) -> float:
-        """Take a request's tokens and return 0, or take none and return the seconds until all are there."""
-        reserved_requests = reserved_share * self._requests.burst
-        wait = self._requests.seconds_until_available(1, now, reserved_requests)
+        """Take a request's tokens and return 0, or take none and return the seconds until all are available."""
+        reserved_requests = reserved_share * self._request_bucket.burst
+        wait_s = self._request_bucket.seconds_until_available(1, now, reserved_requests)
         if not request.write_count:
-            if wait <= 0:
-                self._requests.take(1, now, reserved_requests)
-            return wait
-        reserved_writes = reserved_share * self._writes.burst
-        wait = max(wait, self._writes.seconds_until_available(request.write_count, now, reserved_writes))
-        if wait <= 0:
-            self._requests.take(1, now, reserved_requests)
-            self._writes.take(request.write_count, now, reserved_writes)
-        return wait
+            if wait_s <= 0:
+                self._request_bucket.take(1, now, reserved_requests)
+            return wait_s
+        reserved_writes = reserved_share * self._write_bucket.burst
+        wait_s = max(wait_s, self._write_bucket.seconds_until_available(request.write_count, now, reserved_writes))
+        if wait_s <= 0:
+            self._request_bucket.take(1, now, reserved_requests)
+            self._write_bucket.take(request.write_count, now, reserved_writes)
+        return wait_s
 
     def _send(self, request: StateRequest) -> None:
-        def answer(status: int | None, body: bytes) -> None:
+        def on_answer(status: int | None, body: bytes) -> None:
             self._record_answer(status, self._effects.now())
-            request.answer(status, body)
+            request.on_answer(status, body)
 
-        self._effects.state(request.method, request.target, request.body, request.timeout_s, answer)
+        self._effects.state(request.method, request.target, request.body, request.answer_timeout_s, on_answer)
 
     def _record_answer(self, status: int | None, now: float) -> None:
-        """Learn from the status of an answer whether the store is available and whether its limits are exceeded."""
+        """Update the availability of the store and the request rate by the status of an answer."""
         if status is None or status == UNAVAILABLE:
             self.last_failed_at = now
             return
         self.last_answered_at = now
-        self._adjust_pace(status == TOO_MANY_REQUESTS, now)
+        self._adjust_rate_factor(status == TOO_MANY_REQUESTS, now)
         if status == TOO_MANY_REQUESTS:
-            self._requests.drain(now)
-            self._writes.drain(now)
-            log.info("state store: request rejected, rate limits exceeded")
+            self._request_bucket.drain(now)
+            self._write_bucket.drain(now)
+            log.info("state store: request rejected because the rate limits are exceeded; token buckets emptied")
--- a/tealhook/state_store/results.py
+++ b/tealhook/state_store/results.py
@@ -1,4 +1,4 @@
-"""What is known of a request to the state store after its answer, or for want of one."""
+"""Results of requests to the state store, including requests without a usable answer."""
 
 from __future__ import annotations
 
@@ -13,31 +13,31 @@
 
     COMMITTED = "committed"  # executed
     CONFLICTED = "conflicted"  # not executed: the condition on some key failed
-    REFUSED = "refused"  # certainly not executed; the same may pass later
-    REJECTED = "rejected"  # certainly not executed, and never will be as it is
-    UNKNOWN = "unknown"  # may have been executed, or may yet be: read the keys, never guess
+    REFUSED = "refused"  # not executed; the same transaction may succeed later
+    REJECTED = "rejected"  # not executed; the same transaction can never succeed
+    UNKNOWN = "unknown"  # may have been executed or may still be: only reading the keys can tell
 
 
 @dataclass(frozen=True, slots=True)
 class TransactionResult:
-    """Answer to a transaction: all of its operations were executed, or none."""
+    """Result of a transaction, of which either all operations are executed or none."""
 
     outcome: TransactionOutcome
-    revision: int = 0  # of the transaction, if it was committed
-    failed_keys: list[str] = field(default_factory=list)  # whose conditions failed, if it conflicted
+    revision: int = 0  # the revision that the transaction created, if it was committed
+    failed_keys: list[str] = field(default_factory=list)  # the keys whose conditions failed, if it conflicted
 
 
 class ReadOutcome(enum.StrEnum):
     """Result of reading one key."""
 
     FOUND = "ok"
-    ABSENT = "absent"  # certainly no such key
-    UNKNOWN = "unknown"  # no usable answer: the key may exist
+    ABSENT = "absent"  # the key does not exist
+    UNKNOWN = "unknown"  # no usable answer: the key may or may not exist
 
 
 @dataclass(frozen=True, slots=True)
 class ReadResult:
-    """Answer to reading one key; `item` is set exactly when the key was found."""
+    """Result of reading one key; `item` is set if and only if the key was found."""
 
     outcome: ReadOutcome
     item: KeyValue | None = None
@@ -46,14 +46,14 @@
 class WatchOutcome(enum.Enum):
     """Result of waiting for changes."""
 
-    CHANGES = "changes"  # a complete answer, which may hold no change
-    COMPACTED = "compacted"  # the revision asked from is no longer stored: list the keys anew
+    CHANGES = "changes"  # a complete answer, which may contain no changes
+    COMPACTED = "compacted"  # changes since the requested revision are no longer stored: the keys must be listed again
     UNKNOWN = "unknown"  # no usable answer
 
 
 @dataclass(frozen=True, slots=True)
 class WatchResult:
-    """Answer to a watch; `reply` is set exactly when the outcome is CHANGES."""
+    """Result of a watch; `reply` is set if and only if the outcome is CHANGES."""
 
     outcome: WatchOutcome
     reply: WatchReply | None = None
@@ -63,5 +63,5 @@
     """Result of renewing a lease."""
 
     RENEWED = "renewed"
-    EXPIRED = "expired"  # the store knows no such lease: its keys are deleted
-    UNKNOWN = "unknown"  # no usable answer: the lease may have been renewed, or not
+    EXPIRED = "expired"  # the lease does not exist: its keys are deleted
+    UNKNOWN = "unknown"  # no usable answer: the lease may or may not have been renewed
--- a/tealhook/state_store/watcher.py
+++ b/tealhook/state_store/watcher.py
@@ -1,4 +1,4 @@
-"""Keeps a view of the keys below a prefix complete and current: one list, then watches."""
+"""Watched views of the keys below a prefix, built by one list request and updated by watches."""
 
 from __future__ import annotations
 
@@ -11,22 +11,22 @@
 from tealhook.state_store.results import WatchOutcome, WatchResult
 from tealhook.wire import state as wire
 
-RETRY_S = 0.25  # added to the pause before a retry with each failure in a row
-MAX_RETRY_S = 1.0
+RETRY_STEP_S = 0.25  # the delay before a retry grows by this with each consecutive failure
+MAX_RETRY_DELAY_S = 1.0
 REFRESH_QUEUE_TIMEOUT_S = 1.0  # for tokens
-AVAILABLE_WAITS = 4  # times the hold-open time of a watch: a store that has answered anything within it is available
-RELIST_AFTER_FAILURES = 3  # watches in a row without an answer, while the store answers other requests
+AVAILABLE_WITHIN_WAITS = 4  # the store is available if it answered any request within this many waits of a watch
+RELIST_AFTER_FAILURES = 3  # consecutive unanswered watches while the store answers other requests
 
 
 class Watcher:
-    """Lists the keys once, then follows their changes; lists anew when the revision that it knows was compacted.
+    """Watcher that lists the keys below a prefix and then follows their changes.
 
-    It also lists anew when watches go unanswered while other requests are served: an answer holds all changes, whatever
-    their size, and after a long network partition it may be larger than this process can take. A retry only makes it
-    larger.
+    It lists the keys again when the store has compacted the changes that it needs. It does so too when watches stay
+    unanswered while the store answers other requests: an answer to a watch contains all changes, so after a long
+    network partition it may be larger than this process can receive, and every retry asks for more.
 
-    `on_snapshot(items)` is told of all key-values, `on_events(events)` of changes since. `viewed_at` is when the
-    request was sent whose answer last showed everything: the view is at least as new as that.
+    `on_snapshot` is passed all key-values after a list, and `on_events` the changes since. The view includes everything
+    committed before `viewed_at`.
     """
 
     def __init__(
@@ -38,7 +38,7 @@
         on_snapshot: Callable[[list[wire.KeyValue]], Any],
         on_events: Callable[[list[wire.WatchEvent]], Any],
     ) -> None:
-        """`wait_s`: how long the state store may hold a watch open while nothing changes."""
+        """Initialize a watcher; the store may hold a watch open for `wait_s` while nothing changes."""
         self._effects = effects
         self._store = store
         self._prefix = prefix
@@ -46,26 +46,26 @@
         self._on_snapshot = on_snapshot
         self._on_events = on_events
         self._revision = 0
-        self._failures = 0  # lists and watches without an answer, in a row
+        self._failure_count = 0  # consecutive lists and watches without an answer
         self.viewed_at = LONG_AGO_S
-        self.is_synced = False  # whether the keys have been listed
+        self.is_synced = False  # whether the keys have been listed at least once
 
     def start(self) -> None:
-        """List the keys, then follow their changes for as long as the process runs."""
+        """List the keys, then follow their changes until the process ends."""
         self._list()
 
     def age(self) -> float:
-        """Seconds since the view was certainly complete."""
+        """Return the seconds since the view was last known to be complete."""
         return self._effects.now() - self.viewed_at
 
     def refresh(self, timeout_s: float, on_done: Callable[[bool], Any]) -> None:
-        """Bring the view up to date with one request; `on_done(whether it shows all that was committed before)`."""
+        """Bring the view up to date with one request; pass to `on_done` whether it includes all earlier commits."""
         sent_at = self._effects.now()
 
-        def answered(result: WatchResult) -> None:
+        def on_result(result: WatchResult) -> None:
             if result.reply is not None:
                 self._apply(result.reply, sent_at)
-            # An answer that waited in a buffer while this process was suspended is as old as the suspension is long.
+            # An answer may have waited in a socket buffer while this process was suspended, and is then outdated.
             is_recent = self._effects.now() - sent_at <= timeout_s + REFRESH_QUEUE_TIMEOUT_S
             on_done(result.reply is not None and is_recent)
 
@@ -73,29 +73,29 @@
             self._prefix,
             self._revision,
             0.0,
-            answered,
+            on_result,
             priority=CallPriority.ADMIT,
             queue_timeout_s=REFRESH_QUEUE_TIMEOUT_S,
             answer_timeout_s=timeout_s,
         )
 
     def _apply(self, reply: wire.WatchReply, sent_at: float) -> None:
-        """Apply the answer to a watch that was sent at `sent_at`; answers may arrive in another order than sent."""
-        self._failures = 0
+        """Apply the answer to a watch that was sent at `sent_at`; answers may arrive out of order."""
+        self._failure_count = 0
         self._revision = max(self._revision, reply.revision)
         self.viewed_at = max(self.viewed_at, sent_at)
         if reply.events:
             self._on_events(reply.events)
 
-    def _should_list_anew(self) -> bool:
-        """Whether watches go unanswered though the store has answered other requests lately, so it is reachable."""
-        is_available = self._effects.now() - self._store.last_answered_at < AVAILABLE_WAITS * self._wait_s
-        return self._failures >= RELIST_AFTER_FAILURES and is_available
+    def _should_relist(self) -> bool:
+        """Check whether watches stay unanswered although the store has recently answered other requests."""
+        is_available = self._effects.now() - self._store.last_answered_at < AVAILABLE_WITHIN_WAITS * self._wait_s
+        return self._failure_count >= RELIST_AFTER_FAILURES and is_available
 
     def _retry(self, call: Callable[[], Any]) -> None:
-        self._failures += 1
-        pause = min(MAX_RETRY_S, RETRY_S * self._failures)
-        self._effects.later(pause * (0.5 + self._effects.rng.random()), call)
+        self._failure_count += 1
+        delay_s = min(MAX_RETRY_DELAY_S, RETRY_STEP_S * self._failure_count)
+        self._effects.later(delay_s * (0.5 + self._effects.rng.random()), call)
 
     def _list(self) -> None:
         sent_at = self._effects.now()
@@ -104,7 +104,7 @@
             if items is None:
                 self._retry(self._list)
                 return
-            self._failures = 0
+            self._failure_count = 0
             self._revision = revision
             self.viewed_at = sent_at
             self.is_synced = True
@@ -121,7 +121,7 @@
                 self._list()
                 return
             if result.reply is None:
-                self._retry(self._list if self._should_list_anew() else self._watch)
+                self._retry(self._list if self._should_relist() else self._watch)
                 return
             self._apply(result.reply, sent_at)
             self._watch()
--- a/tests/test_mixed_versions.py
+++ b/tests/test_mixed_versions.py
@@ -1,4 +1,4 @@
-"""Controllers of the version in production and of the present one, side by side: one situation at a time."""
+"""Clusters in which controllers of the production version and of the current version run side by side."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 
 def test_production_package_matches_git_history(tmp_path):
-    """Nothing but the name in import statements differs from the commit that the deploy file names."""
+    """Only the package name in import statements differs from the commit that the deploy file names."""
     package = extract_package(production_commit(), tmp_path)
     original = {path: source.decode() for path, source in archived_modules(production_commit()).items()}
     assert {str(path.relative_to(package)) for path in package.rglob("*.py")} == original.keys()
@@ -38,7 +38,8 @@
             source.splitlines(), original[str(path.relative_to(package))].splitlines(), strict=True
         ):
             assert line == before or line == before.replace(" tealhook", " tealhook_production", 1)
-    assert not (package / "jobs" / "pipelines.py").exists()  # it knows nothing of jobs that wait for others
+    # The version in production does not support dependencies of jobs.
+    assert not (package / "jobs" / "pipelines.py").exists()
 
 
 def test_versions_do_not_import_each_other():
@@ -62,13 +63,13 @@
 
 
 def _settled_with_owner(seed: int, kind: str, is_old: bool) -> tuple[SimulatedCluster, str]:
-    """A mixed cluster in which the owner of a kind of key runs one version and the other nodes the other one."""
+    """Return a cluster in which the owner of a kind of key runs one version and all other nodes the other."""
     for owner in NODE_NAMES:
         cluster = SimulatedCluster(seed, production_nodes=[name for name in NODE_NAMES if (name == owner) == is_old])
         cluster.run(20.0)
         if owner in owners(cluster, kind):
             return cluster, owner
-    raise AssertionError("no node owns one of this kind")
+    raise AssertionError(f"no node owns a key of kind {kind!r}")
 
 
 @pytest.mark.parametrize("kind", OWNERSHIP_PREFIXES)
@@ -82,49 +83,49 @@
         cluster.call_later(2.0 * i, cluster.submit)
     cluster.run(35.0)
     assert owner in owners(cluster, kind)
-    cluster.crash(owner, 15.0)  # the other version takes over what it owned, among the rest
+    cluster.crash(owner, 15.0)  # nodes of the other version take over its keys
     cluster.run(5.0)
     assert owner not in owners(cluster, kind)
     run_until_finished(cluster, 200.0)
     assert cluster.unfinished_jobs() == [] and cluster.task_starts > 15
 
 
-# -- the gate
+# -- the feature gate
 
 
-def _come_back_old(cluster: SimulatedCluster, name: str) -> None:
+def _downgrade(cluster: SimulatedCluster, name: str) -> None:
     cluster.versions[name] = production_version()
     cluster.crash(name, 1.0)
 
 
 def test_downgraded_node_keeps_feature_gate_closed():
-    """It has said that it is new; the process that runs now has not."""
+    """A node registers the new version and is then downgraded: its old registration must not open the gate."""
     cluster = SimulatedCluster(31, production_nodes=NODE_NAMES, cpu_limit=48.0)
     cluster.run(20.0)
     cluster.upgrade("n0", 1.0)
     cluster.run(10.0)
     assert "version/n0" in cluster.state.rows
-    _come_back_old(cluster, "n0")
+    _downgrade(cluster, "n0")
     cluster.upgrade("n1", 1.0)
     cluster.upgrade("n2", 1.0)
     cluster.run(15.0)
     assert {f"version/{name}" for name in NODE_NAMES} <= cluster.state.rows.keys()
     first = cluster.submit(**UNCONSTRAINED_JOB | LONG_JOB)
-    held = cluster.submit(**UNCONSTRAINED_JOB | SHORT_JOB | {"waits_on": [first], "crew": "team-1"})
+    dependent = cluster.submit(**UNCONSTRAINED_JOB | SHORT_JOB | {"waits_on": [first], "crew": "team-1"})
     cluster.run(20.0)
     assert cluster.running_versions["n0"] is production_version()
-    assert cluster.jobs[first].accepted and not cluster.jobs[held].accepted
+    assert cluster.jobs[first].accepted and not cluster.jobs[dependent].accepted
     cluster.upgrade("n0", 1.0)
-    run_until(cluster, lambda: cluster.jobs[held].accepted, 20.0)
+    run_until(cluster, lambda: cluster.jobs[dependent].accepted, 20.0)
     run_until(cluster, lambda: cluster.jobs[first].started_at is not None)
     finish_in(cluster, first, 2.0)
     run_until_finished(cluster, 120.0)
-    assert [cluster.jobs[job].final_status for job in (first, held)] == ["done", "done"]
+    assert [cluster.jobs[job].final_status for job in (first, dependent)] == ["done", "done"]
     assert cluster.event_counts["dependent job started"] == 1
 
 
 def test_new_node_forwards_no_dependent_job_to_old_node():
-    """Without the state service a node lets a peer decide; the old one would accept the job as one that starts now."""
+    """A node without the state store forwards submissions, but an old peer would ignore the job's dependencies."""
     cluster = SimulatedCluster(34, production_nodes=NODE_NAMES[:2], cpu_limit=48.0)
     cluster.run(20.0)
     first = cluster.submit(**UNCONSTRAINED_JOB | LONG_JOB)
@@ -146,7 +147,7 @@
     assert submit({"name_id": "req-waits", "waits_on": [first]}) == 503
     assert submit({"name_id": "req-bad", "vcpus": None}) in (400, 503)
     assert not {"job/req-waits", "job/req-bad"} & cluster.state.rows.keys()
-    assert submit({"name_id": "req-plain"}) == 201  # which the old one decides
+    assert submit({"name_id": "req-plain"}) == 201  # decided by the old node
     assert "job/req-plain" in cluster.state.rows
 
 
@@ -161,27 +162,29 @@
     run_until(cluster, lambda: cluster.jobs[first].accepted)
     for name in NODE_NAMES:
         cluster.crash(name, 0.5 if name == "n1" else 100.0)
-    held = cluster.submit(**UNCONSTRAINED_JOB | SHORT_JOB | {"waits_on": [first], "crew": "team-1"})
-    run_until(cluster, lambda: cluster.jobs[held].accepted, 40.0)  # n1 alone decides
-    assert cluster.controllers.keys() == {"n1"} and dependency_graphs.is_blocked(cluster, cluster.jobs[held])
+    dependent = cluster.submit(**UNCONSTRAINED_JOB | SHORT_JOB | {"waits_on": [first], "crew": "team-1"})
+    run_until(cluster, lambda: cluster.jobs[dependent].accepted, 40.0)  # n1 is the only node
+    assert cluster.controllers.keys() == {"n1"} and dependency_graphs.is_blocked(cluster, cluster.jobs[dependent])
 
 
 def test_jobs_ended_before_upgrade_stay_answerable():
-    """Jobs that ended under the version in production keep their answers, and new ones may wait for them."""
+    """Jobs that ended under the production version can still be queried and named as dependencies."""
     cluster = SimulatedCluster(33, production_nodes=NODE_NAMES, cpu_limit=48.0)
     cluster.run(15.0)
-    before = [cluster.submit(**UNCONSTRAINED_JOB | SHORT_JOB) for _ in range(4)]
-    run_until(cluster, lambda: all(cluster.jobs[job].accepted for job in before))
-    cluster.cancel(before[3])
+    old_jobs = [cluster.submit(**UNCONSTRAINED_JOB | SHORT_JOB) for _ in range(4)]
+    run_until(cluster, lambda: all(cluster.jobs[job].accepted for job in old_jobs))
+    cluster.cancel(old_jobs[3])
     run_until_finished(cluster, 60.0)
-    assert [cluster.jobs[job].final_status for job in before] == ["done"] * 3 + ["cancelled"]
+    assert [cluster.jobs[job].final_status for job in old_jobs] == ["done"] * 3 + ["cancelled"]
     for name in NODE_NAMES:
         cluster.upgrade(name, 1.0)
     cluster.run(15.0)
-    for job in before:
+    for job in old_jobs:
         for name in NODE_NAMES:
             cluster.query(job, name)
-    after = [cluster.submit(**UNCONSTRAINED_JOB | SHORT_JOB | {"waits_on": [job]}) for job in (before[0], before[3])]
+    new_jobs = [
+        cluster.submit(**UNCONSTRAINED_JOB | SHORT_JOB | {"waits_on": [job]}) for job in (old_jobs[0], old_jobs[3])
+    ]
     run_until_finished(cluster, 60.0)
     end_all_faults(cluster)
-    assert [cluster.jobs[job].final_status for job in after] == ["done", "cancelled"]
+    assert [cluster.jobs[job].final_status for job in new_jobs] == ["done", "cancelled"]
