--- a/tealhook/admission/admission.py
+++ b/tealhook/admission/admission.py
@@ -1,7 +1,7 @@
-"""The users' interface to jobs: submissions, polls and cancellations.
+"""The interface of users to jobs: submissions, polls and cancellations.
 
-Any node admits, answers and cancels; the state service decides. What can't be done at once is refused at once, with
-a time after which to retry: no request is queued.
+Every node handles all requests, and the state store decides between concurrent ones. Requests are not queued: one that
+can't be handled at once is refused with a time after which to retry.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 from tealhook.admission.submissions import SubmissionHandler
 from tealhook.admission.validation import JobValidator
 from tealhook.context import NodeContext
-from tealhook.coordination import Versions
+from tealhook.coordination import VersionAgreement
 from tealhook.http import Reply
 from tealhook.jobs.index import JobIndex
 from tealhook.jobs.record_store import JobRecordStore
@@ -26,7 +26,7 @@
 
 
 class Admission:
-    """Submits, polls and cancels jobs for users."""
+    """Handles the submissions, polls and cancellations of users."""
 
     def __init__(
         self,
@@ -35,26 +35,30 @@
         job_index: JobIndex,
         machine_types: Mapping[str, MachineType],
         progress: Mapping[str, JobProgress],
-        versions: Versions,
+        versions: VersionAgreement,
     ) -> None:
-        """Jobs are validated against `machine_types`, as far as these are known; `progress` is shown to users."""
-        records = JobRecordStore(context, store, job_index)
-        reader = JobReader(context, job_index, records)
+        """Initialize admission.
+
+        Jobs are validated against `machine_types`, which is empty until they are known. `progress` of active jobs is
+        shown to users.
+        """
+        record_store = JobRecordStore(context, store, job_index)
+        reader = JobReader(context, job_index, record_store)
         responder = Responder(context, store, progress)
-        self._cancellations = CancellationHandler(job_index, records, reader, responder)
-        statuses = StatusReplier(context, job_index, reader, responder, self._cancellations)
-        self._polls = PollHandler(job_index, reader, responder, statuses)
+        self._cancellations = CancellationHandler(job_index, record_store, reader, responder)
+        status_replier = StatusReplier(context, job_index, reader, responder, self._cancellations)
+        self._polls = PollHandler(job_index, reader, responder, status_replier)
         validator = JobValidator(context, machine_types, versions)
-        self._submissions = SubmissionHandler(context, store, job_index, reader, responder, statuses, validator)
+        self._submissions = SubmissionHandler(context, store, job_index, reader, responder, status_replier, validator)
 
     def submit(self, body: bytes, reply: Reply) -> None:
-        """Accept a job, or answer with the status of the job that was accepted under its id."""
+        """Accept a job, or answer with the status of the job that was accepted earlier under its id."""
         self._submissions.submit(body, reply)
 
-    def answer_poll(self, job: str, reply: Reply) -> None:
-        """Answer with a job's status."""
-        self._polls.answer(job, reply)
+    def answer_poll(self, job_id: str, reply: Reply) -> None:
+        """Answer a poll with a job's status."""
+        self._polls.answer(job_id, reply)
 
-    def cancel(self, job: str, reply: Reply) -> None:
+    def cancel(self, job_id: str, reply: Reply) -> None:
         """Cancel a job at its user's request."""
-        self._cancellations.cancel(job, reply)
+        self._cancellations.cancel(job_id, reply)
--- a/tealhook/fleet/renting.py
+++ b/tealhook/fleet/renting.py
@@ -128,7 +128,7 @@
             self._calls_in_flight -= 1
             self._on_rental_answer(rental, status, body)
             # A process that was suspended may handle this answer before any timer, when its lease may have expired.
-            if self._pending_rental is None and not self._ownership.lease_uncertain:
+            if self._pending_rental is None and not self._ownership.is_lease_uncertain:
                 self._rent_remaining()  # with another option if this one was refused
 
         self._call("POST", "/rentals", encode_json(rental), on_answer)
@@ -179,7 +179,7 @@
         """Send a rental request again once the cloud may be called, unless it is no longer pending."""
         if self._token is None or self._pending_rental is not rental:
             return
-        if not self._ownership.lease_uncertain and self._bucket.take(1, self._effects.now()):
+        if not self._ownership.is_lease_uncertain and self._bucket.take(1, self._effects.now()):
             self._send_rental(rental)
         else:
             self._effects.later(0.5, lambda: self._resend_rental(rental))
--- a/tealhook/partitions/manager.py
+++ b/tealhook/partitions/manager.py
@@ -88,9 +88,9 @@
         A node that is the only one cut off from the state store still receives launch requests from schedulers on
         other nodes, and would start tasks that have been cancelled meanwhile. By then its lease has expired anyway.
         """
-        return self._ownership.lease_uncertain or self._job_index.watcher.age() > self._ownership.lease_ttl_s
+        return self._ownership.is_lease_uncertain or self._job_index.watcher.age() > self._ownership.node_lease_ttl_s
 
-    def is_unheard(self, zone: str | None) -> bool:
+    def is_silent(self, zone: str | None) -> bool:
         """Check whether no worker of an owned zone, or of any if `zone` is None, has been heard of for a lease."""
         partitions = (
             self.partitions.values() if zone is None else [self.partitions[zone]] if zone in self.partitions else []
--- a/tealhook/scheduling/attempts.py
+++ b/tealhook/scheduling/attempts.py
@@ -57,7 +57,7 @@
     def on_status_update(self, update: wire.StatusUpdate) -> None:
         """Apply a partition owner's status update of a machine, unless it has arrived out of order."""
         team_state = self._teams.get(update.team)
-        if team_state is None or not team_state.ready:
+        if team_state is None or not team_state.is_ready:
             return
         order = (update.token, update.sequence)
         if order <= team_state.latest_updates.get(update.machine, NO_UPDATE):
@@ -132,8 +132,8 @@
             return
         if observed.status != wire.LAUNCHING:
             attempt.state = AttemptState.from_task_status(observed.status)
-        if job.spec is None and not attempt.stopping:
-            attempt.stopping = True
+        if job.spec is None and not attempt.is_stopping:
+            attempt.is_stopping = True
             stops.append(wire.TaskStop(attempt.machine, job.id, attempt.index, attempt.number, NO_GRACE_PERIOD_S))
 
     def _on_exited(
@@ -155,15 +155,15 @@
         if attempt.estimate is not None:
             self._record_feedback(team_state, attempt.zone, attempt.estimate, now)
         job.mark_done(attempt.index)
-        job.failures = 0
-        job.to_forget.append(FinishedTask(attempt.zone, attempt.machine, attempt.index, attempt.number))
+        job.consecutive_failures = 0
+        job.tasks_to_forget.append(FinishedTask(attempt.zone, attempt.machine, attempt.index, attempt.number))
         self._committer.mark_deferrable_change(job, now)
-        if job.finished:
+        if job.is_finished:
             self._committer.schedule_commit()
         self._wake_scheduler()
 
     def _record_feedback(self, team_state: TeamState, zone: str, estimate: PlacementEstimate, now: float) -> None:
-        feedback = team_state.factors.setdefault(zone, Feedback(now))
+        feedback = team_state.estimate_feedback.setdefault(zone, Feedback(now))
         feedback.record_finish(estimate, now, self._policy.value("feedback"))
 
     # -- observed tasks that match no recorded attempt
@@ -199,7 +199,7 @@
             if current is not None:
                 stops.append(wire.TaskStop(current.machine, job.id, current.index, current.number, NO_GRACE_PERIOD_S))
             self._committer.mark_deferrable_change(job, self._effects.now())
-        job.to_forget.append(FinishedTask(update.zone, update.machine, observed.index, observed.attempt))
+        job.tasks_to_forget.append(FinishedTask(update.zone, update.machine, observed.index, observed.attempt))
         self._committer.schedule_commit()
 
     # -- attempts that are no longer on their machines
@@ -235,6 +235,6 @@
         A gang can't continue without one of its tasks: the others are stopped, and the whole gang is placed again.
         """
         job.return_task(attempt.index, now)
-        if job.gang and job.attempts:
+        if job.is_gang and job.attempts:
             self._stop_command_sender.stop_all(team_state, job)
         self._wake_scheduler()
--- a/tealhook/scheduling/candidates.py
+++ b/tealhook/scheduling/candidates.py
@@ -81,12 +81,12 @@
         # Min-min alone favours short and small tasks, and ranks favour high priorities. To prevent starvation, a job
         # that has waited for long and not begun goes first, with a single task (a gang with all of its tasks). So does
         # a team's oldest job once it is older than the time within which every job should begin.
-        self.count = 1 if flags.overdue and not job.gang else count
+        self.count = 1 if flags.overdue and not job.is_gang else count
         self.within_guarantee = flags.within_guarantee
         self.starving = flags.starving or flags.overdue
         self.overdue = flags.overdue
         self.borrows = flags.borrows
-        self.requirements = job.requirements()
+        self.requirements = job.build_requirements()
         self.rank = Rank(
             not_overdue=not flags.overdue,
             negated_priority=-self.requirements.priority,
@@ -104,7 +104,7 @@
         similar size.
         """
         vcpus, gpus, _memory_gb = self.job.resources
-        work = self.job.waiting_count() * max(vcpus, gpus) * max(1.0, self.requirements.run_s)
+        work = self.job.count_waiting() * max(vcpus, gpus) * max(1.0, self.requirements.run_s)
         return int(SIZE_STEPS_PER_DOUBLING * math.log2(1.0 + work))
 
 
@@ -135,7 +135,7 @@
         times = CycleTimes(now, self._policy.value("hold_age_s", variables), variables["begin_s"])
         candidates: list[Candidate] = []
         for team in self._teams.values():
-            if team.ready:
+            if team.is_ready:
                 candidates.extend(self._select_team(team, times))
         candidates.sort(key=lambda candidate: (candidate.rank, candidate.job.mod_revision))
         return candidates[:MAX_CANDIDATES_PER_CYCLE]
@@ -146,30 +146,30 @@
         jobs = sorted(team.jobs.values(), key=lambda job: job.mod_revision)
         self._reserve_for_overdue(team, jobs, now, times.starving_age_s)
         reserved = reserved_for_overdue(team)
-        guarantee_left = team.guarantee
+        guarantee_left = team.cpu_guarantee
         is_oldest = True
         candidates: list[Candidate] = []
         for job in jobs:
             spec = job.spec
-            if spec is None or job.finished or job.blocked:
+            if spec is None or job.is_finished or job.is_blocked:
                 continue
             # Each unfinished job counts against the guarantee with all of its tasks. If only its remaining tasks
             # counted, nearly every job could preempt tasks of others once most of it is done.
             total_vcpus = spec.vcpus * job.task_count
-            within_guarantee = team.guarantee > 0 and total_vcpus <= guarantee_left + ROUNDING_TOLERANCE
+            within_guarantee = team.cpu_guarantee > 0 and total_vcpus <= guarantee_left + ROUNDING_TOLERANCE
             guarantee_left -= total_vcpus
-            if job.waiting_count() <= 0 or not self._may_be_placed(job, now):
+            if job.count_waiting() <= 0 or not self._may_be_placed(job, now):
                 continue
             overdue = self._is_overdue(job, now, times.starving_age_s)
             allowed = tasks_within_limit(job, remaining, NOTHING_RESERVED if overdue else reserved)
             borrows = allowed <= 0 and self._may_borrow(job, spec, now, times.starving_age_s)
             if borrows:
                 allowed = min(1, tasks_within_limit(job, remaining, NOTHING_RESERVED))
-            count = self._count_placeable(job, min(job.waiting_count(), allowed))
+            count = self._count_placeable(job, min(job.count_waiting(), allowed))
             if count <= 0:
                 continue
             starving = now - job.waiting_since > times.starving_age_s
-            if is_oldest and not job.failing and now - job.schedulable_since > times.begin_within_s:
+            if is_oldest and not job.is_failing and now - job.schedulable_since > times.begin_within_s:
                 overdue, is_oldest = True, False
             flags = CandidateFlags(within_guarantee, starving, overdue, self._is_late(job, spec, now), borrows)
             candidates.append(Candidate(team, job, spec, count, flags))
@@ -177,23 +177,23 @@
 
     @staticmethod
     def _may_be_placed(job: Job, now: float) -> bool:
-        return job.loaded and job.write_state is not WriteState.UNCERTAIN and job.not_before <= now
+        return job.is_loaded and job.write_state is not WriteState.UNCERTAIN and job.placement_not_before <= now
 
     @staticmethod
     def _count_placeable(job: Job, count: int) -> int:
         """Return the number of tasks, out of `count`, that may be placed at once."""
-        if job.gang:
+        if job.is_gang:
             # The paper treats a gang as one task: all of it is placed together, and only after every earlier attempt
             # has left its machine.
-            return 0 if job.attempts or job.staged or count < job.waiting_count() else count
-        if job.failing:
+            return 0 if job.attempts or job.staged or count < job.count_waiting() else count
+        if job.is_failing:
             return min(count, max(0, 1 - len(job.attempts)))
         return count
 
     @staticmethod
     def _is_overdue(job: Job, now: float, starving_age_s: float) -> bool:
         """Check whether a job has waited for long and not begun. A failing job counts as begun."""
-        if job.failing:
+        if job.is_failing:
             return False
         return now - job.schedulable_since > starving_age_s and not (job.done_count or job.attempts or job.staged)
 
@@ -216,9 +216,9 @@
         each of them again, and a job of larger tasks never began although machines had capacity for it.
         """
         reserved = [0.0, 0.0]
-        max_reserved = (team.limit * MAX_RESERVED_LIMIT_SHARE, team.gpus_limit * MAX_RESERVED_LIMIT_SHARE)
+        max_reserved = (team.cpu_limit * MAX_RESERVED_LIMIT_SHARE, team.gpu_limit * MAX_RESERVED_LIMIT_SHARE)
         for job in jobs:
-            if job.spec is None or job.gang or job.blocked or job.not_before > now:
+            if job.spec is None or job.is_gang or job.is_blocked or job.placement_not_before > now:
                 continue
             if not self._is_overdue(job, now, starving_age_s):
                 continue
@@ -243,7 +243,7 @@
     def zone_limits(job: Job, spec: JobSpec, zones: list[str]) -> dict[str, int]:
         """Return the maximum number of further tasks of a job for each zone; zones without an entry are unlimited."""
         limits: dict[str, int] = {}
-        used = job.zones()
+        used = job.occupied_zones()
         for zone in zones:
             max_tasks = spec.task_count
             if spec.zone is not None and zone != spec.zone:
@@ -265,7 +265,7 @@
         fetch still follow. Without a wait objective, a job submitted with such a priority does not wait, and one that
         has it on behalf of dependent jobs waits for a quarter of a lease.
         """
-        if candidate.job.failing:
+        if candidate.job.is_failing:
             return False
         waited_s = now - candidate.job.waiting_since
         spec = candidate.spec
@@ -281,6 +281,6 @@
         free capacity, each task of other teams waited for half of the time that the guarantee objective allows.
         """
         return (
-            not candidate.job.failing
+            not candidate.job.is_failing
             and candidate.requirements.priority > self._job_index.lowest_checkpointing_priority
         )
--- a/tealhook/scheduling/cycle.py
+++ b/tealhook/scheduling/cycle.py
@@ -98,7 +98,7 @@
         While assignments wait for write tokens, capacity reserved for more of them would expire unused and be reserved
         again, and the writes spent on it would be lost.
         """
-        return self._store.is_served and not self._commit_queue.is_backlogged and not self._ownership.lease_uncertain
+        return self._store.is_served and not self._commit_queue.is_backlogged and not self._ownership.is_lease_uncertain
 
     def _partition_owners(self) -> dict[str, str]:
         """Return the partition owners to ask, by zone.
--- a/tealhook/scheduling/failure_backoff.py
+++ b/tealhook/scheduling/failure_backoff.py
@@ -7,7 +7,7 @@
 from tealhook.context import NodeContext
 from tealhook.jobs.attempt import Attempt
 from tealhook.jobs.job import Job
-from tealhook.jobs.tasks import FAILING_THRESHOLD
+from tealhook.jobs.tasks import FAILING_JOB_MIN_FAILURES
 from tealhook.wire.workers import ExitCause
 
 log = logging.getLogger(__name__)
@@ -30,14 +30,16 @@
             self._delay_failing_job(job, attempt, now)
         elif cause in REFUSAL_CAUSES:
             log.info("task %s/%d: refused by machine %s: %s", job.id, attempt.index, attempt.machine, cause)
-            job.not_before = max(job.not_before, now + self._report_s / 2)
+            job.placement_not_before = max(job.placement_not_before, now + self._report_s / 2)
 
     def _delay_failing_job(self, job: Job, attempt: Attempt, now: float) -> None:
         job.record_failure(attempt.machine)
-        if job.failing:
-            doublings = min(job.failures - FAILING_THRESHOLD, MAX_BACKOFF_DOUBLINGS)
+        if job.is_failing:
+            doublings = min(job.consecutive_failures - FAILING_JOB_MIN_FAILURES, MAX_BACKOFF_DOUBLINGS)
             pause_s = self._report_s * 2**doublings
-            job.not_before = now + pause_s * (0.75 + 0.5 * self._effects.rng.random())
+            job.placement_not_before = now + pause_s * (0.75 + 0.5 * self._effects.rng.random())
         log.debug("task %s/%d: failed on machine %s", job.id, attempt.index, attempt.machine)
-        if job.failures == FAILING_THRESHOLD:  # logged once, however often the job's tasks fail after that
-            log.info("job %s: %d tasks failed in a row, retrying one task at a time", job.id, job.failures)
+        if (
+            job.consecutive_failures == FAILING_JOB_MIN_FAILURES
+        ):  # logged once, however often the job's tasks fail after that
+            log.info("job %s: %d tasks failed in a row, retrying one task at a time", job.id, job.consecutive_failures)
--- a/tealhook/scheduling/planning.py
+++ b/tealhook/scheduling/planning.py
@@ -90,7 +90,7 @@
         selector = self._selector
         partitions = {zone: self._build_view(candidate, zone, capacity) for zone, capacity in capacities.items()}
         zone_limits = selector.zone_limits(candidate.job, spec, list(capacities))
-        if spec.single_zone and not candidate.job.zones():
+        if spec.single_zone and not candidate.job.occupied_zones():
             # All tasks of the job must go to one zone: the one that has most capacity now.
             best = max(
                 capacities, key=lambda zone: (partitions[zone].cached + partitions[zone].uncached, zone), default=None
@@ -113,9 +113,9 @@
     @staticmethod
     def _build_view(candidate: Candidate, zone: str, capacity: wire.Capacity) -> PartitionView:
         """Return a partition's capacity for a candidate."""
-        feedback = candidate.team.factors.get(zone)
+        feedback = candidate.team.estimate_feedback.get(zone)
         factor = feedback.factor if feedback else 0.0
-        if not candidate.job.gang:
+        if not candidate.job.is_gang:
             return PartitionView(
                 capacity.cached, capacity.uncached, capacity.next_free_s, capacity.fetch_gb_per_s, factor
             )
@@ -144,7 +144,7 @@
         preempt.
         """
         choice = reservation.choice
-        if reservation.candidate.job.gang and choice.count < reservation.candidate.count:
+        if reservation.candidate.job.is_gang and choice.count < reservation.candidate.count:
             return False
         return not choice.awaits_capacity or choice.group.starving or choice.group.can_preempt
 
--- a/tealhook/scheduling/read_back.py
+++ b/tealhook/scheduling/read_back.py
@@ -56,7 +56,7 @@
             elif outcome is ReadOutcome.UNKNOWN:
                 self._effects.later(RECORD_RETRY_S, lambda: self.read_job_record(job))
 
-        self._records.read(job.id, on_record)
+        self._records.read_into_index(job.id, on_record)
 
     def read_assignments(self, team_state: TeamState, job: Job) -> None:
         """Read a job's assignment record after a write of unknown outcome, until there is an answer.
--- a/tealhook/scheduling/team_limits.py
+++ b/tealhook/scheduling/team_limits.py
@@ -28,8 +28,8 @@
     Pass `count_gpus=False` where no GPUs are needed: adding up the allocations of all jobs takes time.
     """
     return LimitedResources(
-        team.limit - team.allocated(CPU_INDEX) if team.limit > 0 else UNLIMITED,
-        team.gpus_limit - team.allocated(GPU_INDEX) if count_gpus and team.gpus_limit > 0 else UNLIMITED,
+        team.cpu_limit - team.allocated(CPU_INDEX) if team.cpu_limit > 0 else UNLIMITED,
+        team.gpu_limit - team.allocated(GPU_INDEX) if count_gpus and team.gpu_limit > 0 else UNLIMITED,
     )
 
 
--- a/tests/test_dependency_cancellation.py
+++ b/tests/test_dependency_cancellation.py
@@ -244,7 +244,7 @@
 
 
 def _start_blocked_jobs(patch):
-    patch.setattr(Job, "blocked", property(lambda self: False, lambda self, value: None), raising=False)
+    patch.setattr(Job, "is_blocked", property(lambda self: False, lambda self, value: None), raising=False)
 
 
 def _report_status_as_read(patch):
@@ -289,7 +289,7 @@
 def _read_single_record(patch):
     """Disable two guards: a query brings the job index up to date, and a stale job index is not used for replies."""
     _report_status_as_read(patch)
-    patch.setattr(JobReader, "read", JobReader.read_record)
+    patch.setattr(JobReader, "read", JobReader.read_record_into_index)
 
 
 @pytest.mark.parametrize(
--- a/tests/test_large_fleet.py
+++ b/tests/test_large_fleet.py
@@ -123,7 +123,7 @@
     body = mesh.Gossip("n0", 0.0, {}, [], [], {ZONE: states}, {}, addresses)
     frame = mesh.envelope_encoder.encode(mesh.Envelope("n0", 1, 1, 0, body))
     assert (
-        3 * len(frame) < mesh.MAX_FRAME < transport.MAX_QUEUED
+        3 * len(frame) < mesh.MAX_FRAME < transport.MAX_QUEUED_BYTES
     )  # room for twice the frame of 1.5 times as many machines
 
 
--- a/tests/test_upgrade_runs.py
+++ b/tests/test_upgrade_runs.py
@@ -9,7 +9,7 @@
 
 import pytest
 
-from tealhook.coordination import Versions
+from tealhook.coordination import VersionAgreement
 from tealhook.jobs import JobIndex
 from tealhook.jobs.job import Job
 from tests import dependency_graphs
@@ -102,11 +102,11 @@
 
 
 def _without_feature_gate(patch: pytest.MonkeyPatch) -> None:
-    patch.setattr(Versions, "all_upgraded", property(lambda self: True))
+    patch.setattr(VersionAgreement, "all_upgraded", property(lambda self: True))
 
 
 def _without_blocked_check(patch: pytest.MonkeyPatch) -> None:
-    patch.setattr(Job, "blocked", property(lambda self: False, lambda self, value: None), raising=False)
+    patch.setattr(Job, "is_blocked", property(lambda self: False, lambda self, value: None), raising=False)
 
 
 def _without_cancelled_dependents(patch: pytest.MonkeyPatch) -> None:
