--- a/tealhook/admission/cancellations.py
+++ b/tealhook/admission/cancellations.py
@@ -10,7 +10,7 @@
 from tealhook.jobs.index import JobIndex
 from tealhook.jobs.job_records import JobState
 from tealhook.jobs.record_store import JobRecordStore
-from tealhook.state_store import CallPriority, Outcome, ReadOutcome
+from tealhook.state_store import CallPriority, ReadOutcome, TransactionOutcome
 from tealhook.wire.common import encode_json, error_body
 from tealhook.wire.users import JobStatus, is_valid_job_id
 
@@ -59,10 +59,10 @@
         self._reader.fetch_record(job_id, on_read)
 
     def _write_cancellation(self, job_id: str, team: str, mod_revision: int, reply: Reply, retries: int) -> None:
-        def on_written(outcome: Outcome, _uncertain_jobs: list[str]) -> None:
-            if outcome is Outcome.COMMITTED:
+        def on_written(outcome: TransactionOutcome, _uncertain_jobs: list[str]) -> None:
+            if outcome is TransactionOutcome.COMMITTED:
                 reply(HTTPStatus.OK, encode_json(JobStatus(job_id, JobState.CANCELLED)))
-            elif outcome in (Outcome.REFUSED, Outcome.REJECTED) or retries <= 0:
+            elif outcome in (TransactionOutcome.REFUSED, TransactionOutcome.REJECTED) or retries <= 0:
                 self._responder.reply_retry(reply, "state service unavailable")
             else:
                 # The job has ended in the meantime, or the outcome of this write is unknown: read the record again.
--- a/tealhook/admission/submission_records.py
+++ b/tealhook/admission/submission_records.py
@@ -45,7 +45,7 @@
 
 def encode_submission(spec: JobSpec, accepted_at: float, store: StateClient) -> Submission:
     """Encode a job as a job record, and dependency chunks for the dependencies that do not fit into it."""
-    max_bytes, key = int(store.record_bytes), job_key(spec.job_id)
+    max_bytes, key = int(store.max_record_bytes), job_key(spec.job_id)
     sized_ids = [(dependency, len(encode_json(dependency)) + 1) for dependency in spec.depends_on]  # size with a comma
 
     def take_ids(capacity: int) -> list[str]:
@@ -73,8 +73,8 @@
 def find_excess_size(submission: Submission, store: StateClient) -> str | None:
     """Return the reason why a submission can't be written in one transaction, or None if it can."""
     sizes = [len(encode_json(write.value)) for write in submission.writes]
-    if max(sizes) > store.value_bytes:
-        return f"too large to be kept: at most {store.value_bytes / 1024:g} KiB without waits_on"
+    if max(sizes) > store.max_value_bytes:
+        return f"too large to be kept: at most {store.max_value_bytes / 1024:g} KiB without waits_on"
     if len(sizes) > store.max_operations or sum(sizes) > MAX_TRANSACTION_BYTES:
         return "too large to be kept: waits_on names too many jobs"
     return None
--- a/tealhook/admission/submissions.py
+++ b/tealhook/admission/submissions.py
@@ -17,7 +17,7 @@
 from tealhook.http import Reply
 from tealhook.jobs.index import JobIndex
 from tealhook.jobs.job_records import JobState, job_key
-from tealhook.state_store import CallPriority, Outcome, ReadOutcome, StateClient, TransactionResult
+from tealhook.state_store import CallPriority, ReadOutcome, StateClient, TransactionOutcome, TransactionResult
 from tealhook.wire import state as state_wire
 from tealhook.wire.common import error_body
 from tealhook.wire.job_parser import InvalidJobError, parse_job
@@ -130,10 +130,10 @@
         job_id = submission.job_id
 
         def on_written(result: TransactionResult) -> None:
-            if result.outcome is Outcome.COMMITTED:
+            if result.outcome is TransactionOutcome.COMMITTED:
                 self._job_index.apply_record(job_id, submission.record, result.revision)
                 self._status_replier.reply_status(HTTPStatus.CREATED, job_id, JobState.ACTIVE, reply)
-            elif result.outcome in (Outcome.REFUSED, Outcome.REJECTED):
+            elif result.outcome in (TransactionOutcome.REFUSED, TransactionOutcome.REJECTED):
                 self._responder.reply_retry(reply, "state service unavailable")
             else:
                 # The job was accepted earlier, or the outcome of this write is unknown, so the record is read.
--- a/tealhook/http/client.py
+++ b/tealhook/http/client.py
@@ -130,7 +130,7 @@
             if self._waiting_calls[0].is_finished:
                 self._waiting_calls.popleft()
                 continue
-            while self._idle_connections and self._idle_connections[-1].stream.closed:
+            while self._idle_connections and self._idle_connections[-1].stream.is_closed:
                 self._idle_connections.pop()
             if self._idle_connections:
                 connection = self._idle_connections.pop()
--- a/tealhook/http/server.py
+++ b/tealhook/http/server.py
@@ -67,7 +67,7 @@
         self._process_next_request()
 
     def _process_next_request(self) -> None:
-        if self._is_busy or self._stream.closed:
+        if self._is_busy or self._stream.is_closed:
             return
         try:
             request = self._parser.next()
@@ -157,7 +157,7 @@
             if len(self._connections) >= self._max_connections and not self._evict_idle_connection():
                 sock.close()
                 continue
-            connection = _Connection(self, Stream(self.loop, sock, max_out=MAX_OUTPUT_BYTES))
+            connection = _Connection(self, Stream(self.loop, sock, max_unsent_bytes=MAX_OUTPUT_BYTES))
             self._connections[connection] = None
 
     @property
--- a/tealhook/jobs/index.py
+++ b/tealhook/jobs/index.py
@@ -70,7 +70,7 @@
     @property
     def is_synced(self) -> bool:
         """True once all records have been read; until then, an active job may be missing from the index."""
-        return self.watcher.synced
+        return self.watcher.is_synced
 
     # -- job status
 
--- a/tealhook/mesh/transport.py
+++ b/tealhook/mesh/transport.py
@@ -103,10 +103,10 @@
         connection = self._connections.get(peer)
         if connection is None:
             return None
-        if not connection.connected and self._loop.now() - self._connecting_since[peer] > self._connect_timeout_s:
+        if not connection.is_connected and self._loop.now() - self._connecting_since[peer] > self._connect_timeout_s:
             connection.close()
             return None
-        return None if connection.closed else connection
+        return None if connection.is_closed else connection
 
     def _connect(self, peer: str) -> Stream | None:
         """Start a connection to a peer and return it, or None if that fails immediately."""
--- a/tealhook/state_store/__init__.py
+++ b/tealhook/state_store/__init__.py
@@ -1,14 +1,14 @@
-"""The state store: client within the rate limits, watches and linearizable reads."""
+"""Access to the state store: a rate-limited client, watched views and linearizable reads."""
 
 from tealhook.state_store.client import StateClient
 from tealhook.state_store.read_index import ReadIndex
 from tealhook.state_store.request_queue import CallPriority
-from tealhook.state_store.results import Outcome, ReadOutcome, ReadResult, TransactionResult
+from tealhook.state_store.results import ReadOutcome, ReadResult, TransactionOutcome, TransactionResult
 from tealhook.state_store.watcher import Watcher
 
 __all__ = [
     "CallPriority",
-    "Outcome",
+    "TransactionOutcome",
     "ReadIndex",
     "ReadOutcome",
     "ReadResult",
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -14,7 +14,7 @@
 from tealhook.jobs.job_records import parse_record
 from tealhook.settings import SettingsError
 from tealhook.settings.platform import parse_settings
-from tealhook.state_store import CallPriority, Outcome, StateClient
+from tealhook.state_store import CallPriority, StateClient, TransactionOutcome
 from tealhook.wire import mesh as wire
 from tealhook.wire.cloud import MachineTypes
 from tealhook.wire.common import encode_json
@@ -242,7 +242,7 @@
     cluster.cloud.capacity_per_pool = 50
     for node in cluster.node_names:  # until they crash, they write within the larger limits, as in production
         store = cluster.controllers[node].state_client
-        store.max_operations, store.value_bytes = 16, 8192
+        store.max_operations, store.max_value_bytes = 16, 8192
     for i in range(5):
         cluster.call_later(
             3.0 * i,
@@ -359,7 +359,7 @@
     """Submit bookkeeping writes for some seconds, and return how many requests were sent."""
     sent = len(effects.calls)
     for _ in range(seconds * 50):
-        store.transact({}, [{"drop": "a"}], CallPriority.BOOKKEEPING, lambda *_: None, wait=0.1)
+        store.transact({}, [{"drop": "a"}], CallPriority.BOOKKEEPING, lambda *_: None, queue_timeout_s=0.1)
         effects.run(effects.time + 0.02)
     return len(effects.calls) - sent
 
@@ -386,11 +386,11 @@
 @pytest.mark.parametrize(
     ("status", "body", "expected"),
     [
-        (400, b'{"error":"no such lease"}', Outcome.REFUSED),
-        (400, b'{"error":"value too large"}', Outcome.REJECTED),
-        (429, b"{}", Outcome.REFUSED),
-        (503, b"{}", Outcome.REFUSED),
-        (None, b"", Outcome.UNKNOWN),
+        (400, b'{"error":"no such lease"}', TransactionOutcome.REFUSED),
+        (400, b'{"error":"value too large"}', TransactionOutcome.REJECTED),
+        (429, b"{}", TransactionOutcome.REFUSED),
+        (503, b"{}", TransactionOutcome.REFUSED),
+        (None, b"", TransactionOutcome.UNKNOWN),
     ],
 )
 def test_transaction_outcomes(status, body, expected):
--- a/tests/test_machine_type_records.py
+++ b/tests/test_machine_type_records.py
@@ -22,7 +22,7 @@
     split_types,
     take_transaction,
 )
-from tealhook.state_store import CallPriority, Outcome, TransactionResult
+from tealhook.state_store import CallPriority, TransactionOutcome, TransactionResult
 from tealhook.wire import state as state_wire
 from tealhook.wire.cloud import MachineType, MachineTypes
 from tealhook.wire.common import encode_json
@@ -96,7 +96,7 @@
 class _FaultyStateStore:
     """A state store that executes some transactions late, and gives no answer to some."""
 
-    value_bytes, max_operations = 717, 2
+    max_value_bytes, max_operations = 717, 2
 
     def __init__(self, rng: random.Random, check: Callable[[], None]) -> None:
         self.rng, self.check = rng, check
@@ -113,7 +113,7 @@
         assert len(operations) <= self.max_operations and len(conditions) <= 4 * self.max_operations
         # The operations as the state store reads them.
         operations = [msgspec.json.decode(encode_json(operation)) for operation in operations]
-        assert all(len(encode_json(op["v"])) <= self.value_bytes for op in operations if "write" in op)
+        assert all(len(encode_json(op["v"])) <= self.max_value_bytes for op in operations if "write" in op)
         if self.rng.random() < self.fault_share:
             self.execute_random_late_transaction()
         if self.rng.random() < self.fault_share:
@@ -121,11 +121,11 @@
                 self.execute(conditions, operations)
             else:
                 self.late_transactions.append((conditions, operations))
-            done(TransactionResult(Outcome.UNKNOWN))
+            done(TransactionResult(TransactionOutcome.UNKNOWN))
         elif self.execute(conditions, operations):
-            done(TransactionResult(Outcome.COMMITTED, revision=self.revision))
+            done(TransactionResult(TransactionOutcome.COMMITTED, revision=self.revision))
         else:
-            done(TransactionResult(Outcome.CONFLICTED))
+            done(TransactionResult(TransactionOutcome.CONFLICTED))
 
     def execute(self, conditions: dict, operations: list) -> bool:
         if any(self.rows.get(key, (None, 0))[1] != revision for key, revision in conditions.items()):
