--- a/tealhook/state_store/client.py
+++ b/tealhook/state_store/client.py
@@ -33,9 +33,9 @@
 log = logging.getLogger(__name__)
 
 CALL_TIMEOUT_S = 2.0
-MAX_RECORD_VALUE_SHARE = 0.97  # of the size limit of a value; the store may compute the size differently
+MAX_RECORD_VALUE_SHARE = 0.97  # leaves a margin because the store may compute the size of a value differently
 LIST_PAGE_SIZE = 500
-MAX_LOGGED_BODY_BYTES = 200  # of an error response
+MAX_LOGGED_BODY_BYTES = 200  # longer bodies of error responses are truncated in the log
 
 # HTTP statuses of the state store.
 OK = 200
@@ -46,9 +46,7 @@
 GONE = 410  # the revision to watch from has been compacted
 
 OnRead = Callable[[ReadResult], Any]
-OnList = Callable[
-    [list[wire.KeyValue] | None, int], Any
-]  # is passed the key-values and the revision; (None, 0) on failure
+OnList = Callable[[list[wire.KeyValue] | None, int], Any]  # is passed key-values and revision; (None, 0) on failure
 OnWatch = Callable[[WatchResult], Any]
 OnTransaction = Callable[[TransactionResult], Any]
 
--- a/tealhook/state_store/read_index.py
+++ b/tealhook/state_store/read_index.py
@@ -17,8 +17,8 @@
 
 OnRefresh = Callable[[bool], Any]  # is passed whether the view includes all commits before the read
 
-REFRESH_RATE_SHARE = 0.2  # of the request rate limit divided by the number of nodes
-SLOW_REQUEST_TIMEOUT_SHARE = 0.25  # of the timeout; a request that takes longer does not delay the next one
+REFRESH_RATE_SHARE = 0.2  # of the node's even share of the request rate limit; the rest is left for other requests
+SLOW_REQUEST_TIMEOUT_SHARE = 0.25  # a request unanswered for this share of the timeout no longer delays the next
 
 
 class ReadIndex:
--- a/tealhook/state_store/request_queue.py
+++ b/tealhook/state_store/request_queue.py
@@ -14,14 +14,14 @@
 
 log = logging.getLogger(__name__)
 
-USED_RATE_SHARE = 0.92  # of the rate limits; the rest allows for uneven use by other nodes and for clock drift
+USED_RATE_SHARE = 0.92  # all nodes together leave the rest of the rate limits for uneven use and clock drift
 # Share of each rate limit that is divided evenly among the live nodes; the rest is divided by owned teams.
 EVEN_SPLIT_REQUEST_SHARE = 0.7
 EVEN_SPLIT_WRITE_SHARE = 0.35
-RATE_ADJUSTMENT_INTERVAL_S = 1.0  # at least; the rate limits allow bursts of one second
+RATE_ADJUSTMENT_INTERVAL_S = 1.0  # not adjusted more often, because the rate limits allow bursts of one second
 MIN_RATE_FACTOR = 0.3
-RATE_FACTOR_DECREASE = 0.8  # on an answer that the rate limits are exceeded, once per interval
-RATE_FACTOR_INCREASE = 1.02  # on any other answer, once per interval; slow, to avoid oscillation between nodes
+RATE_FACTOR_DECREASE = 0.8  # applied when the store answers that the rate limits are exceeded
+RATE_FACTOR_INCREASE = 1.02  # applied on any other answer; small, so that nodes do not exceed the limits in turn
 # Bounds of the delay until the next attempt to send queued requests.
 MIN_DISPATCH_DELAY_S = 0.002
 MAX_DISPATCH_DELAY_S = 0.25
