--- a/tealhook/admission/polls.py
+++ b/tealhook/admission/polls.py
@@ -10,13 +10,13 @@
 from tealhook.http import Reply
 from tealhook.jobs.index import JobIndex
 from tealhook.state_store import ReadOutcome
-from tealhook.wire.users import valid_job_id
+from tealhook.wire.users import is_valid_job_id
 
 NO_SUCH_JOB = Refusal(HTTPStatus.NOT_FOUND, "no such job")
 
 
 class PollHandler:
-    """Answers polls of users."""
+    """Handler of polls."""
 
     def __init__(
         self, job_index: JobIndex, reader: JobReader, responder: Responder, status_replier: StatusReplier
@@ -32,7 +32,7 @@
 
         An active job is read even if it is in the index, which may be older than an answer of another node.
         """
-        if not valid_job_id(job_id):
+        if not is_valid_job_id(job_id):
             self._responder.refuse(reply, NO_SUCH_JOB)
             return
         ended = self._job_index.ended.get(job_id)
--- a/tealhook/fleet/cloud_calls.py
+++ b/tealhook/fleet/cloud_calls.py
@@ -18,13 +18,13 @@
 from tealhook.mesh import Mesh
 from tealhook.state_store import StateClient
 from tealhook.wire import cloud as wire
-from tealhook.wire.workers import FAILOVER_S
+from tealhook.wire.workers import WORKER_FAILOVER_S
 
 log = logging.getLogger(__name__)
 
 CALL_TIMEOUT_S = 5.0
 RATE_LIMIT_SHARE = 0.9  # share of the cloud's rate limit that is used
-TYPES_REFRESH_LAGS = 8.0  # The machine types are fetched again after this multiple of the list lag.
+TYPES_REFRESH_LAGS = 8.0  # Types and prices are fetched again after this multiple of the list lag.
 TYPES_WRITE_RETRY_S = 1.0  # delay until the machine types are fetched and written again if a write may be lost
 
 # Called with the status, which is None if there was no answer, and the body.
@@ -117,7 +117,7 @@
         workers, now = self._settings.params.workers, self._effects.now()
         if self._cloud_silent_since is not None and now - self._cloud_silent_since > workers.lease_s / 2:
             self._pending_releases.clear()  # Whoever still needs a machine released requests it again.
-            self._no_release_before = now + 2 * workers.report_s + FAILOVER_S
+            self._no_release_before = now + 2 * workers.report_s + WORKER_FAILOVER_S
         self._cloud_silent_since = None
 
     # -- machine types: every node reads them from the state store, the fleet's owner fetches them from the cloud
--- a/tealhook/mesh/transport.py
+++ b/tealhook/mesh/transport.py
@@ -8,13 +8,13 @@
 
 from tealhook.loop import Loop
 from tealhook.loop.stream import Stream, listen
-from tealhook.wire.mesh import MAX_FRAME
+from tealhook.wire.mesh import MAX_FRAME_BYTES
 
 log = logging.getLogger(__name__)
 
 FRAME_LENGTH_BYTES = 4
 # Bytes queued for a peer that does not read; more than a frame, since the gossip of thousands of machines is one frame.
-MAX_QUEUED_BYTES = 2 * MAX_FRAME
+MAX_QUEUED_BYTES = 2 * MAX_FRAME_BYTES
 MAX_BATCH_BYTES = 32 * 1024
 ACCEPT_BACKLOG = 32
 # After a network partition a peer opens new connections while its old ones still hang.
@@ -33,7 +33,7 @@
         frames = []
         while len(self._buffer) >= FRAME_LENGTH_BYTES:
             size = int.from_bytes(self._buffer[:FRAME_LENGTH_BYTES], "big")
-            if size > MAX_FRAME:
+            if size > MAX_FRAME_BYTES:
                 return None
             if len(self._buffer) < FRAME_LENGTH_BYTES + size:
                 break
@@ -140,7 +140,7 @@
     def _on_data(self, stream: Stream, parser: _FrameParser, data: bytes) -> None:
         frames = parser.feed(data)
         if frames is None:
-            log.error("mesh: closing an incoming connection: it announced a frame larger than MAX_FRAME")
+            log.error("mesh: closing an incoming connection: it announced a frame larger than MAX_FRAME_BYTES")
             stream.close()
             return
         for frame in frames:
--- a/tealhook/partitions/preemption.py
+++ b/tealhook/partitions/preemption.py
@@ -41,7 +41,7 @@
         """Initialize the planner; the usage beyond guarantees is what the team schedulers report."""
         self._effects = state.context.effects
         self._workers = state.context.workers
-        self._done_within = state.context.settings.done_within()
+        self._done_within = state.context.settings.completion_objectives()
         self._job_index = state.job_index
         self._over_guarantee_cpus_by_team = state.over_guarantee_cpus_by_team
 
@@ -103,8 +103,8 @@
         if scope is not PreemptionScope.ANY:
             return [task for task in self._checkpointing_tasks(machine) if task.job in self._job_index.active]
         # A task that has run for long is closer to its end than to its beginning: its resources become free soon
-        # anyway, so it is not worth losing its work. Tasks with checkpoints are exempt, since under this limit tasks
-        # of a few minutes kept all machines once they had run for too long.
+        # anyway, so it is not worth losing its work. Tasks with checkpoints are exempt: under this limit, tasks of a
+        # few minutes kept all machines occupied once they had run for longer than it.
         max_run_s = max(MAX_VICTIM_RUN_RATIO * request.requirements.run_s, self._workers.lease_s)
         return [
             task
--- a/tealhook/partitions/responses.py
+++ b/tealhook/partitions/responses.py
@@ -19,7 +19,7 @@
     """Builds the responses to the heartbeats of one partition."""
 
     def __init__(self, state: PartitionState, capacity: MachineCapacity, commands: WorkerCommands) -> None:
-        """Use `commands` as the source of the commands in responses, and `capacity` to find free resources."""
+        """Initialize with the commands to send, and the capacity that decides how long responses are held open."""
         self._effects = state.context.effects
         self._workers = state.context.workers
         self._token = state.token
@@ -55,4 +55,4 @@
             return 0.0
         periods = BUSY_HOLD_PERIODS if machine.tasks else IDLE_HOLD_PERIODS
         hold_s = max(MIN_HOLD_INTERVAL_SHARE * MIN_HEARTBEAT_INTERVAL_S, periods * self._workers.report_s)
-        return min(wire.ANSWER_TIMEOUT_S / 2, hold_s)
+        return min(wire.HEARTBEAT_ANSWER_TIMEOUT_S / 2, hold_s)
--- a/tealhook/scheduling/candidates.py
+++ b/tealhook/scheduling/candidates.py
@@ -14,18 +14,18 @@
     GPU_INDEX,
     NOTHING_RESERVED,
     ROUNDING_TOLERANCE,
-    remaining_limit,
+    compute_remaining_limit,
+    count_tasks_within_limit,
     reserved_for_overdue,
-    tasks_within_limit,
 )
 from tealhook.wire.users import PRIORITY_RANK, STANDARD_RANK, JobSpec
 
 MAX_CANDIDATES_PER_CYCLE = 48
 # Jobs whose remaining work falls into the same step rank equally, so that min-min chooses among them.
 SIZE_STEPS_PER_DOUBLING = 1.5
-MAX_RESERVED_LIMIT_SHARE = 0.25  # of a team's limit, for overdue jobs; one task's requirements may exceed it
-MAX_BORROWER_RUN_SHARE = 0.5  # of the starving age: longest estimated run of a task that may borrow
-TRUSTED_ESTIMATE_SHARE = 0.75  # of an estimated run time, because users often overestimate it
+MAX_RESERVED_LIMIT_SHARE = 0.25  # share of a team's limit reserved for overdue jobs, unless a single task needs more
+MAX_BORROWER_RUN_SHARE = 0.5  # longest estimated run of a borrowing task, as a share of the starving age
+TRUSTED_ESTIMATE_SHARE = 0.75  # share of an estimated run time that is counted, since users often overestimate it
 
 
 class CandidateFlags(NamedTuple):
@@ -78,7 +78,7 @@
         self.team = team
         self.job = job
         self.spec = spec
-        # Min-min alone favours short and small tasks, and ranks favour high priorities. To prevent starvation, a job
+        # Min-min alone favors short and small tasks, and ranks favor high priorities. To prevent starvation, a job
         # that has waited for long and not begun goes first, with a single task (a gang with all of its tasks). So does
         # a team's oldest job once it is older than the time within which every job should begin.
         self.count = 1 if flags.overdue and not job.is_gang else count
@@ -93,10 +93,10 @@
             beyond_guarantee=not flags.within_guarantee,
             late=flags.late,
             not_starving=not self.starving,
-            size_step=self._size_step(),
+            size_step=self._compute_size_step(),
         )
 
-    def _size_step(self) -> int:
+    def _compute_size_step(self) -> int:
         """Return the remaining work of the whole job on a logarithmic scale.
 
         Users count the jobs that finish in time, not their tasks. Therefore the remaining work of the whole job takes
@@ -116,7 +116,7 @@
         self._job_index = job_index
         self._policy = context.policy
         self._teams = teams
-        self._done_within = context.settings.done_within()
+        self._done_within = context.settings.completion_objectives()
         self._lease_s = context.workers.lease_s
         objectives = context.settings.params.objectives
         self._guarantee_s = min(
@@ -142,12 +142,12 @@
 
     def _select_team(self, team: TeamState, times: CycleTimes) -> list[Candidate]:
         now = times.now
-        remaining = remaining_limit(team)
+        remaining = compute_remaining_limit(team)
         jobs = sorted(team.jobs.values(), key=lambda job: job.mod_revision)
         self._reserve_for_overdue(team, jobs, now, times.starving_age_s)
         reserved = reserved_for_overdue(team)
         guarantee_left = team.cpu_guarantee
-        is_oldest = True
+        is_oldest_sought = True  # the oldest job that should have begun is not found yet
         candidates: list[Candidate] = []
         for job in jobs:
             spec = job.spec
@@ -161,16 +161,16 @@
             if job.count_waiting() <= 0 or not self._may_be_placed(job, now):
                 continue
             overdue = self._is_overdue(job, now, times.starving_age_s)
-            allowed = tasks_within_limit(job, remaining, NOTHING_RESERVED if overdue else reserved)
+            allowed = count_tasks_within_limit(job, remaining, NOTHING_RESERVED if overdue else reserved)
             borrows = allowed <= 0 and self._may_borrow(job, spec, now, times.starving_age_s)
             if borrows:
-                allowed = min(1, tasks_within_limit(job, remaining, NOTHING_RESERVED))
+                allowed = min(1, count_tasks_within_limit(job, remaining, NOTHING_RESERVED))
             count = self._count_placeable(job, min(job.count_waiting(), allowed))
             if count <= 0:
                 continue
             starving = now - job.waiting_since > times.starving_age_s
-            if is_oldest and not job.is_failing and now - job.schedulable_since > times.begin_within_s:
-                overdue, is_oldest = True, False
+            if is_oldest_sought and not job.is_failing and now - job.schedulable_since > times.begin_within_s:
+                overdue, is_oldest_sought = True, False
             flags = CandidateFlags(within_guarantee, starving, overdue, self._is_late(job, spec, now), borrows)
             candidates.append(Candidate(team, job, spec, count, flags))
         return candidates
@@ -202,9 +202,9 @@
         """Check whether a job, begun or not, may borrow one task's requirements reserved for overdue jobs.
 
         An overdue job may find no capacity for minutes. Its reservation stays unused meanwhile, and other tasks of its
-        team keep the rest of the limit taken: a low-ranked job that had begun got nothing, although small machines had
-        capacity for it. Therefore a job that has had no task assigned for long may borrow, if the task returns the
-        capacity soon: lending to long tasks delayed the overdue job by another minute.
+        team use up the rest of the limit, so that a low-ranked job that has begun gets nothing although small machines
+        have capacity for it. Therefore a job that has had no task assigned for long may borrow, if its tasks are short:
+        lending to long tasks delayed the overdue job by another minute.
         """
         stalled = now - max(job.schedulable_since, job.last_assigned_at) > starving_age_s and not job.staged
         return stalled and spec.estimated_run_s <= MAX_BORROWER_RUN_SHARE * starving_age_s
--- a/tealhook/state_store/client.py
+++ b/tealhook/state_store/client.py
@@ -57,7 +57,7 @@
     def __init__(self, context: NodeContext) -> None:
         """Initialize a client with the rate and size limits in the settings."""
         super().__init__(context)
-        limits = context.settings.params.state.least
+        limits = context.settings.params.state.strictest
         self.max_operations = limits.txn_ops
         self.max_value_bytes = int(limits.value_kb * 1024)
 
--- a/tealhook/state_store/request_queue.py
+++ b/tealhook/state_store/request_queue.py
@@ -79,7 +79,7 @@
     def __init__(self, context: NodeContext) -> None:
         """Initialize an empty queue; at first the rate limits are divided evenly among all nodes."""
         self._effects = context.effects
-        limits = context.settings.params.state.least
+        limits = context.settings.params.state.strictest
         self._max_requests_per_s, self._max_writes_per_s = limits.rps, limits.write_rps
         self._rate_factor = 1.0  # reduced while the store answers that the rate limits are exceeded
         self._rate_adjusted_at = LONG_AGO_S
--- a/tests/test_upgrade_runs.py
+++ b/tests/test_upgrade_runs.py
@@ -26,7 +26,7 @@
 
 def _count_record_splits(cluster: SimulatedCluster) -> None:
     """Count writes that copy part of a record that exceeds the coming limits, and writes that shorten such a record."""
-    limit_bytes = 1024 * cluster.settings.params.state.least.value_kb
+    limit_bytes = 1024 * cluster.settings.params.state.strictest.value_kb
     original_txn = cluster.state._txn
 
     def record_size(key: str) -> int:
