--- a/tealhook/cli.py
+++ b/tealhook/cli.py
@@ -24,7 +24,7 @@
 
 
 def _parse_seconds(text: str) -> float:
-    """Return a finite number of seconds above 0; raise ArgumentTypeError if it is not one."""
+    """Return a finite number of seconds above 0; raise ArgumentTypeError for any other text."""
     try:
         seconds = float(text)
     except ValueError:
--- a/tealhook/http/client.py
+++ b/tealhook/http/client.py
@@ -112,7 +112,10 @@
     def request(
         self, method: str, target: str, body: bytes | None, timeout_s: float, callback: ResponseCallback
     ) -> None:
-        """Send a request, and call back with (status, body), or with (None, b"") if no response arrives in time."""
+        """Send a request, and call back with (status, body).
+
+        The callback is passed (None, b"") if the connection fails or no response arrives within `timeout_s`.
+        """
         call = _Call(encode_request(method, target, self._addr, body), callback)
         call.timer = self._loop.later(timeout_s, lambda: self._on_timeout(call))
         self._waiting_calls.append(call)
--- a/tealhook/http/parser.py
+++ b/tealhook/http/parser.py
@@ -1,8 +1,8 @@
 """An incremental HTTP/1.1 parser for requests and responses.
 
-A head or body that exceeds its limit is rejected as soon as its size is known and before it is buffered, with status
-431 or 400. 413 would be the usual status for a body, but clients treat only 400 as final: they would repeat the request
-for a minute.
+So that no message is buffered beyond its limits, a head is rejected with status 431 and a body with 400 as soon as it
+is known to be too large. 413 would be the usual status for a body, but clients treat only 400 as final: they would
+repeat the request for a minute.
 """
 
 from __future__ import annotations
--- a/tealhook/loop/stream.py
+++ b/tealhook/loop/stream.py
@@ -75,7 +75,7 @@
 
     @property
     def is_connected(self) -> bool:
-        """Whether the connection is established and has not been closed."""
+        """True if the connection is established and has not been closed."""
         return not self._is_connecting and not self.is_closed
 
     def _update_events(self) -> None:
--- a/tealhook/loop/token_bucket.py
+++ b/tealhook/loop/token_bucket.py
@@ -42,7 +42,7 @@
         return True
 
     def seconds_until_available(self, count: float, now: float, keep: float = 0.0) -> float:
-        """Return the seconds until `take` with the same arguments may succeed."""
+        """Return the seconds until `take` with the same arguments may succeed; with a rate of 0, always return 1."""
         self._refill(now)
         required = min(count + keep, self.burst)
         return max(0.0, (required - self._tokens) / self.rate) if self.rate > 0 else 1.0
--- a/tealhook/settings/platform.py
+++ b/tealhook/settings/platform.py
@@ -61,7 +61,8 @@
 class WorkerTimings(msgspec.Struct):
     """Heartbeat period of the workers, their lease, and the time within which a cancellation must take effect.
 
-    The lease is the time for which a worker runs its tasks without an answered heartbeat.
+    The lease is the time for which a worker runs its tasks without an answered heartbeat. The controller does not use
+    `gang_wait_s` and `gang_peer_s`.
     """
 
     report_s: float
--- a/tealhook/state_store/client.py
+++ b/tealhook/state_store/client.py
@@ -46,9 +46,8 @@
 GONE = 410  # the revision to watch from has been compacted
 
 OnRead = Callable[[ReadResult], Any]
-OnList = Callable[
-    [list[wire.KeyValue] | None, int], Any
-]  # is passed the key-values and the revision; (None, 0) on failure
+# Is passed the key-values and the revision of the list, or (None, 0) on failure.
+OnList = Callable[[list[wire.KeyValue] | None, int], Any]
 OnWatch = Callable[[WatchResult], Any]
 OnTransaction = Callable[[TransactionResult], Any]
 
--- a/tealhook/state_store/read_index.py
+++ b/tealhook/state_store/read_index.py
@@ -17,7 +17,7 @@
 
 OnRefresh = Callable[[bool], Any]  # is passed whether the view includes all commits before the read
 
-REFRESH_RATE_SHARE = 0.2  # of the request rate limit divided by the number of nodes
+REFRESH_RATE_SHARE = 0.2  # of this node's even share of the request rate limit
 SLOW_REQUEST_TIMEOUT_SHARE = 0.25  # of the timeout; a request that takes longer does not delay the next one
 
 
--- a/tealhook/state_store/request_queue.py
+++ b/tealhook/state_store/request_queue.py
@@ -18,7 +18,8 @@
 # Share of each rate limit that is divided evenly among the live nodes; the rest is divided by owned teams.
 EVEN_SPLIT_REQUEST_SHARE = 0.7
 EVEN_SPLIT_WRITE_SHARE = 0.35
-RATE_ADJUSTMENT_INTERVAL_S = 1.0  # at least; the rate limits allow bursts of one second
+# Minimum time between two changes of the rate factor; the rate limits allow bursts of one second.
+RATE_ADJUSTMENT_INTERVAL_S = 1.0
 MIN_RATE_FACTOR = 0.3
 RATE_FACTOR_DECREASE = 0.8  # on an answer that the rate limits are exceeded, once per interval
 RATE_FACTOR_INCREASE = 1.02  # on any other answer, once per interval; slow, to avoid oscillation between nodes
@@ -138,7 +139,7 @@
 
     @property
     def is_served(self) -> bool:
-        """Whether the last completed request to the state store got an answer other than "unavailable"."""
+        """True if the last completed request to the state store got an answer other than "unavailable"."""
         return self.last_answered_at > self.last_failed_at
 
     def available_writes(self, priority: CallPriority) -> int:
@@ -184,7 +185,7 @@
     def _send_queued(self, priority: CallPriority, now: float) -> float | None:
         """Send requests of one priority; return the seconds until the next one has its tokens, or None if none is left.
 
-        Less urgent requests are tried even so: a read may be sent while a large write still lacks tokens.
+        Less urgent requests are still tried after that: a read may be sent while a large write still lacks tokens.
         """
         queue = self._queues[priority]
         while queue:
--- a/tealhook/state_store/watcher.py
+++ b/tealhook/state_store/watcher.py
@@ -14,7 +14,7 @@
 RETRY_STEP_S = 0.25  # the delay before a retry grows by this with each consecutive failure
 MAX_RETRY_DELAY_S = 1.0
 REFRESH_QUEUE_TIMEOUT_S = 1.0  # for tokens
-AVAILABLE_WITHIN_WAITS = 4  # the store is available if it answered any request within this many waits of a watch
+AVAILABLE_WITHIN_WAITS = 4  # the store is available if it answered any request within this many times `wait_s`
 RELIST_AFTER_FAILURES = 3  # consecutive unanswered watches while the store answers other requests
 
 
--- a/tealhook/user.py
+++ b/tealhook/user.py
@@ -50,7 +50,10 @@
 
 
 def _read_job_file(path: str) -> bytes:
-    """Return the contents of a job file, or of standard input for `-`; raise JobArgumentError if it is not JSON."""
+    """Return the contents of a job file, or of standard input for `-`.
+
+    Raise JobArgumentError if they can't be read or are not JSON.
+    """
     try:
         if path == "-":
             data = sys.stdin.buffer.read()
--- a/tealhook/wire/mesh/reconciliation.py
+++ b/tealhook/wire/mesh/reconciliation.py
@@ -53,9 +53,8 @@
     """The reply to a reconcile request.
 
     `silent_s` holds the time since the last heartbeat of each machine, or -1 if none arrived under this token, and
-    `owned_s` the time since the owner took over the partition.
-    `mostly_reporting` means that most of the partition's machines send heartbeats, so the silent ones are not merely
-    cut off together with the whole partition.
+    `owned_s` the time since the owner took over the partition. `mostly_reporting` means that most of the partition's
+    machines send heartbeats, so the silent ones are not merely cut off together with the whole partition.
     """
 
     token: int
--- a/tealhook/wire/mesh/reservations.py
+++ b/tealhook/wire/mesh/reservations.py
@@ -8,7 +8,7 @@
 
 
 class ReservationRequest(msgspec.Struct, array_like=True):
-    """The request of capacity for `count` tasks of one job with the same requirements.
+    """A request for capacity for `count` tasks of one job with the same requirements.
 
     `non_preemptible` tasks must not be stopped for others; it is set for the first task of a job that has waited for a
     long time.
--- a/tealhook/wire/users.py
+++ b/tealhook/wire/users.py
@@ -36,7 +36,7 @@
 
     @property
     def rank(self) -> int:
-        """The position among all priorities, which are compared by it."""
+        """The position among all priorities, by which priorities are compared."""
         return PRIORITY_RANK[self]
 
 
