--- a/tealhook/state_store/request_queue.py
+++ b/tealhook/state_store/request_queue.py
@@ -138,7 +138,7 @@
 
     @property
     def is_served(self) -> bool:
-        """Whether the last completed request to the state store got an answer other than "unavailable"."""
+        """True if the last completed request to the state store got an answer other than "unavailable"."""
         return self.last_answered_at > self.last_failed_at
 
     def available_writes(self, priority: CallPriority) -> int:
@@ -184,7 +184,7 @@
     def _send_queued(self, priority: CallPriority, now: float) -> float | None:
         """Send requests of one priority; return the seconds until the next one has its tokens, or None if none is left.
 
-        Less urgent requests are tried even so: a read may be sent while a large write still lacks tokens.
+        Less urgent requests are still tried after that: a read may be sent while a large write still lacks tokens.
         """
         queue = self._queues[priority]
         while queue:
