--- a/tealhook/admission/cancellations.py
+++ b/tealhook/admission/cancellations.py
@@ -14,7 +14,7 @@
 from tealhook.wire.common import encode_json, error_body
 from tealhook.wire.users import JobStatus, is_valid_job_id
 
-MAX_RETRIES = 3  # of a cancellation whose write conflicted with another or has an unknown outcome
+MAX_RETRIES = 3  # number of retries of a cancellation whose write conflicted with another or has an unknown outcome
 
 
 class CancellationHandler:
--- a/tealhook/admission/job_reader.py
+++ b/tealhook/admission/job_reader.py
@@ -99,7 +99,7 @@
     def newest_status(self, job_id: str, result: JobReadResult) -> str | None:
         """Return the status from the job index, which may be newer than the read, or else from the read.
 
-        Another node may already have told the user that the job is accepted or has ended, and an answer must not
+        Another node may already have reported to the user that the job is accepted or has ended, and an answer must not
         contradict this. Return None if the read failed, since the job index may be stale then.
         """
         if result.outcome is ReadOutcome.UNKNOWN:
--- a/tealhook/coordination/stability.py
+++ b/tealhook/coordination/stability.py
@@ -7,7 +7,7 @@
 
 STABLE_AFTER_LEASES = 2  # time without a change, in node leases, after which the set counts as stable
 LOSS_RETENTION_LEASES = 30  # time, in node leases, for which the loss of a node counts as recent
-MAX_STABILITY_DOUBLINGS = 2  # of the time without a change, for a node that is lost repeatedly
+MAX_STABILITY_DOUBLINGS = 2  # limit of doublings of the time without a change, for a node that is lost repeatedly
 
 
 class MembershipStability:
--- a/tealhook/coordination/version_agreement.py
+++ b/tealhook/coordination/version_agreement.py
@@ -19,7 +19,7 @@
 
 NODE_VERSION_PREFIX = "version/"
 AGREEMENT_KEY = "versions/agreed"
-COMMON_PREFIX = "version"  # of the version records and the agreement, which are read with one list
+COMMON_PREFIX = "version"  # common to the keys of version records and the agreement, which are read with one list
 SUPPORTED_VERSION = 1  # the first version with dependencies between jobs
 
 
--- a/tealhook/fleet/manager.py
+++ b/tealhook/fleet/manager.py
@@ -1,7 +1,8 @@
 """The fleet manager: only the fleet's owner lists, rents and releases machines.
 
-A machine is released if its partition's owner has drained it, or to fence it: if it is silent, and must be known to be
-off before its tasks run elsewhere. Status 200 for the release proves that it is off; only then are other nodes told.
+A machine is released if its partition's owner has drained it, or to fence it: if it is silent, and must be known to
+have stopped before its tasks run elsewhere. Status 200 for the release proves that it has stopped; only then are other
+nodes notified.
 """
 
 from __future__ import annotations
--- a/tealhook/fleet/provisioning.py
+++ b/tealhook/fleet/provisioning.py
@@ -10,7 +10,7 @@
 # A ratio compares an actual provisioning time with the usual boot time of the machine type.
 SAMPLE_WEIGHT = 0.3  # weight of one machine in the learned ratio
 DECAY_BOOTS = 20.0  # time constant of the decay towards the usual boot time, as a multiple of it
-FAILURE_RATIO = 4.0  # recorded for a machine that never came up
+FAILURE_RATIO = 4.0  # ratio recorded for a machine that did not start
 OVERDUE_RATIO = 1.75  # A starting machine is overdue beyond this; usual boots take up to 1.5 times the usual time.
 MAX_RATIO = 8.0  # higher ratios are recorded as this
 
@@ -35,20 +35,20 @@
 class ProvisioningTimes:
     """The expected provisioning times of machine types in zones.
 
-    With them, demand moves to zones where machines come up, and back once they come up in the others again.
+    With them, demand moves to zones where machines start, and back once they start in the others again.
     """
 
     def __init__(self) -> None:
-        """Start with nothing learned: machines are expected to come up in the usual boot time."""
+        """Start with nothing learned: machines are expected to start in the usual boot time."""
         self._learned: dict[ProvisioningSite, _LearnedRatio] = {}
         self._overdue_ratios: dict[ProvisioningSite, float] = {}
 
     def record_provisioned(self, machine_type: MachineType, zone: str, took_s: float, now: float) -> None:
-        """Record that a machine came up after `took_s` seconds."""
+        """Record that a machine was running after `took_s` seconds."""
         self._learn(machine_type, zone, took_s / max(machine_type.boot_s, 1.0), now)
 
     def record_failure(self, machine_type: MachineType, zone: str, now: float) -> None:
-        """Record that a machine never came up."""
+        """Record that a machine did not start."""
         self._learn(machine_type, zone, FAILURE_RATIO, now)
 
     def _learn(self, machine_type: MachineType, zone: str, ratio: float, now: float) -> None:
@@ -59,7 +59,7 @@
         learned.updated_at = now
 
     def clear_overdue(self) -> None:
-        """Forget the overdue machines, before all starting machines are recorded anew."""
+        """Forget the overdue machines, before all starting machines are recorded again."""
         self._overdue_ratios.clear()
 
     def record_still_starting(self, machine_type: MachineType, zone: str, age_s: float) -> None:
--- a/tealhook/fleet/releasing.py
+++ b/tealhook/fleet/releasing.py
@@ -65,7 +65,7 @@
         self._call("POST", "/rentals/release", encode_json({"boxes": names}), on_answer)
 
     def _watch_health(self, states: dict[str, mesh_wire.MachineState], zones: set[str], now: float) -> None:
-        """Request the release of machines that are silent, were terminated by the cloud, or never came up."""
+        """Request the release of machines that are silent, were terminated by the cloud, or did not start."""
         fence_s = self._policy.value("fence_s")
         for machine in self._machines.values():
             state = states.get(machine.name)
@@ -106,7 +106,7 @@
             machine.status == wire.MachineStatus.STARTING
             and now - machine.requested_at > ABANDONED_BOOT_RATIO * boot_s + self._list_lag_s
         ):
-            log.info("fleet: machine %s never came up, releasing it", machine.name)
+            log.info("fleet: machine %s did not start, releasing it", machine.name)
             if machine_type is not None and machine.name not in self._pending_releases:
                 self._provisioning.record_failure(machine_type, machine.zone, now)
             return True
--- a/tealhook/http/client.py
+++ b/tealhook/http/client.py
@@ -124,7 +124,8 @@
     def _on_timeout(self, call: _Call) -> None:
         for connection in self._connections:
             if connection.call is call:
-                connection.stream.close()  # A late response must not be taken for another call's.
+                # A late response must not be taken for the response to another call.
+                connection.stream.close()
                 break
         call.finish(None, b"")
 
--- a/tealhook/jobs/chunk_layout.py
+++ b/tealhook/jobs/chunk_layout.py
@@ -8,7 +8,7 @@
 from tealhook.jobs.attempt import Attempt
 from tealhook.wire.common import encode_json
 
-FIRST_CHUNK_ASSIGNMENTS_SHARE = 0.75  # of the first chunk's bytes; the rest is reserved for the ranges of done tasks
+FIRST_CHUNK_ASSIGNMENTS_SHARE = 0.75  # share of the first chunk's bytes; the rest is reserved for ranges of done tasks
 MIN_TASK_BYTES = 6  # a lower bound for the encoded size of a task's assignment
 
 
--- a/tealhook/jobs/index.py
+++ b/tealhook/jobs/index.py
@@ -24,7 +24,7 @@
 
 MIN_ENDED_JOBS = 20_000  # kept in the index to save reads; the state store keeps the records of all ended jobs
 ENDED_JOB_BYTES = 400  # approximate memory that an ended job takes in the index
-ENDED_JOBS_MEMORY_SHARE = 1 / 8  # of the memory of this process
+ENDED_JOBS_MEMORY_SHARE = 1 / 8  # share of this process's memory that ended jobs may take
 WATCHES_PER_LEASE = 10  # number of watch requests during a worker's lease if the state store sends no changes
 
 
--- a/tealhook/mesh/transport.py
+++ b/tealhook/mesh/transport.py
@@ -140,7 +140,9 @@
     def _on_data(self, stream: Stream, parser: _FrameParser, data: bytes) -> None:
         frames = parser.feed(data)
         if frames is None:
-            log.error(f"mesh: closing an incoming connection: it announced a frame larger than {MAX_FRAME_BYTES} bytes")
+            log.error(
+                "mesh: closing an incoming connection: it announced a frame larger than %d bytes", MAX_FRAME_BYTES
+            )
             stream.close()
             return
         for frame in frames:
--- a/tealhook/partitions/fetch_rates.py
+++ b/tealhook/partitions/fetch_rates.py
@@ -6,7 +6,7 @@
 
 MEASUREMENT_WEIGHT = 0.2  # weight of a new measurement in the moving average of a machine type
 MIN_FETCH_S = 0.05  # a shorter fetch counts as this long, since its duration is observed too coarsely
-DEFAULT_FETCH_GB_PER_S = 1.0  # for machine types with neither a measured nor a published rate
+DEFAULT_FETCH_GB_PER_S = 1.0  # rate of machine types with neither a measured nor a published rate
 MAX_PUBLISHED_RATE_RATIO = 2  # a measurement of this multiple of the published rate or more is discarded
 
 
--- a/tealhook/partitions/heartbeats.py
+++ b/tealhook/partitions/heartbeats.py
@@ -17,8 +17,8 @@
 
 log = logging.getLogger(__name__)
 
-MAX_CLOCK_DRIFT_RATIO = 1.001  # between the rates of two monotonic clocks, each of which is off by at most 0.05%
-MAX_START_SENDS = 3  # a start command that has been sent this often without effect is given up
+MAX_CLOCK_DRIFT_RATIO = 1.001  # ratio of the rates of two monotonic clocks, each of which is off by at most 0.05%
+MAX_START_SENDS = 3  # after this many sends without effect, a start command's reservation is dropped
 
 
 class HeartbeatReceiver:
--- a/tealhook/partitions/worker_calls.py
+++ b/tealhook/partitions/worker_calls.py
@@ -16,7 +16,7 @@
 
 log = logging.getLogger(__name__)
 
-DIRECT_CALL_TIMEOUT_S = 2.0  # an unanswered direct call is given up then, and may be repeated later
+DIRECT_CALL_TIMEOUT_S = 2.0  # a direct call without an answer fails after this time, and may be repeated later
 CALL_INTERVAL_LEASES = 1 / 4  # minimum time between two calls to the same worker, in leases
 FIRST_CALL_DELAY_PERIODS = 1.5  # heartbeat periods in which workers find a new owner without being called
 CONNECTIONS_PER_CALL = 32  # one concurrent call per this many connections: half of the share for direct calls
--- a/tealhook/scheduling/read_back.py
+++ b/tealhook/scheduling/read_back.py
@@ -109,4 +109,4 @@
             try:
                 job.load(chunk, row.value, row.mod_revision, now, self._proved_absent.get(job.id))
             except CorruptRecordError as exc:
-                log.error("%s", exc)
+                log.error("assignment record skipped in read-back: %s", exc)
--- a/tealhook/scheduling/stop_commands.py
+++ b/tealhook/scheduling/stop_commands.py
@@ -11,7 +11,7 @@
 from tealhook.mesh import Mesh
 from tealhook.wire import mesh as wire
 
-NO_GRACE_PERIOD_S = 0.0  # for a task whose progress need not be saved
+NO_GRACE_PERIOD_S = 0.0  # grace period of a task whose progress need not be saved
 
 
 class StopCommandSender:
--- a/tealhook/state_store/read_index.py
+++ b/tealhook/state_store/read_index.py
@@ -17,7 +17,7 @@
 
 OnRefresh = Callable[[bool], Any]  # is passed whether the view includes all commits before the read
 
-REFRESH_RATE_SHARE = 0.2  # of the node's even share of the request rate limit; the rest is left for other requests
+REFRESH_RATE_SHARE = 0.2  # part of the node's even share of the request rate limit; other requests get the rest
 SLOW_REQUEST_TIMEOUT_SHARE = 0.25  # a request unanswered for this share of the timeout no longer delays the next
 
 
