--- a/tealhook/jobs/assignment_record.py
+++ b/tealhook/jobs/assignment_record.py
@@ -1,7 +1,7 @@
 """Keys and encoding of a job's assignment record, `live/<team>/<job>`.
 
 The record makes durable which tasks may be on which machines and which tasks are done. It is a single value, or several
-chunks when one value is too small to name all assignments. The one-letter fields are the stored format: every version
+chunks when one value is too small to list all assignments. The one-letter fields are the stored format: every version
 of the service reads and writes the same bytes.
 """
 
@@ -53,7 +53,7 @@
     ranges = _done_ranges(done)
     value = {"q": list(resources), "c": last_attempt_number, "d": ranges, "m": _encode_assignments(attempts)}
     if len(ranges) > 1 and len(encode_json(value)) > max_bytes:
-        # Done tasks that the record does not name only run again after a failover, so the shortest ranges are dropped.
+        # Done tasks that the record does not list only run again after a failover, so the shortest ranges are dropped.
         ranges.sort(key=lambda r: r[0] - r[1])
         while len(ranges) > 1 and len(encode_json(value)) > max_bytes:
             del ranges[-1 - len(ranges) // 8 :]
--- a/tealhook/jobs/attempt.py
+++ b/tealhook/jobs/attempt.py
@@ -7,7 +7,7 @@
 from tealhook.placement import PlacementEstimate
 from tealhook.wire.workers import TaskStatus
 
-NO_CHUNK = -1  # stands for the chunk of an attempt that, as far as known, no chunk of the assignment record names
+NO_CHUNK = -1  # the chunk of an attempt that no chunk of the assignment record is known to list
 
 
 class AttemptState(enum.Enum):
@@ -73,4 +73,4 @@
         self.launch_expires_at = 0.0
         self.assigned_at = assigned_at
         self.is_stopping = False
-        self.chunk = 0  # the chunk of the job's assignment record that names this attempt
+        self.chunk = 0  # the chunk of the job's assignment record that lists this attempt
--- a/tealhook/jobs/chunk_layout.py
+++ b/tealhook/jobs/chunk_layout.py
@@ -13,10 +13,10 @@
 
 
 class MovedAttempt(NamedTuple):
-    """An attempt that another chunk names once a write is durable."""
+    """An attempt that another chunk lists once a write is durable."""
 
     attempt: Attempt
-    chunk: int  # the chunk that names the attempt from then on
+    chunk: int  # the chunk that lists the attempt from then on
 
 
 def by_task_index(attempt: Attempt) -> int:
@@ -28,7 +28,7 @@
     """The chunks of one write: the first chunk, the changed chunks, and the chunks that take staged attempts.
 
     Earlier versions may have written chunks larger than `max_chunk_bytes`. Such a chunk is not rewritten until the
-    attempts that no longer fit into it are named by other chunks, either in the same write or by copies in earlier
+    attempts that no longer fit into it are listed by other chunks, either in the same write or by copies in earlier
     writes. `moved_attempts` lists these attempts. A write that only makes copies lacks the first chunk.
     """
 
@@ -43,7 +43,7 @@
         """Initialize a write of at most `max_chunks` chunks with at most `max_chunk_bytes` bytes each.
 
         `encode(chunk, attempts, max_bytes)` returns the value of a chunk. `attempts_by_chunk` has the attempts that
-        the durable chunks name, and is updated with the attempts that move.
+        the durable chunks list, and is updated with the attempts that move.
         """
         self._encode = encode
         self._attempts_by_chunk = attempts_by_chunk
@@ -77,7 +77,7 @@
             current = self._attempts_by_chunk.get(chunk, [])
             added, value = self._take_fitting(chunk, current, staged, values.get(chunk))
             if not (current or added or chunk == 0):
-                break  # not even one attempt fits into an empty chunk: its names are too long for any record
+                break  # not even one attempt fits into an empty chunk: its machine and zone names are too long
             for attempt in added:
                 attempt.chunk = chunk
             if added or chunk == 0:
@@ -148,12 +148,12 @@
                     copies[target] = attempts[:count]
                     attempts = attempts[count:]
                 elif not current:
-                    return None  # its names are too long for any record
+                    return None  # its machine and zone names are too long for any chunk
             target += 1
         return copies
 
     def _count_fitting(self, chunk: int, current: list[Attempt], added: list[Attempt], max_bytes: int) -> int:
-        """Return how many attempts from the front of `added` a chunk can name beside `current`."""
+        """Return how many attempts from the front of `added` a chunk can list beside `current`."""
         low, high = 0, min(len(added), max_bytes // MIN_TASK_BYTES)
         while low < high:
             middle = (low + high + 1) // 2
--- a/tealhook/jobs/dependency_graph.py
+++ b/tealhook/jobs/dependency_graph.py
@@ -118,8 +118,8 @@
         to_visit = [job_id]
         while to_visit:
             entry = self._active.get(to_visit[-1])
-            dependencies = [name for name in entry.pending_dependencies if name in self._active] if entry else []
-            missing = [name for name in dependencies if name not in expected_at]
+            dependencies = [other for other in entry.pending_dependencies if other in self._active] if entry else []
+            missing = [other for other in dependencies if other not in expected_at]
             if missing:
                 to_visit.extend(missing)
                 continue
@@ -128,7 +128,7 @@
                 expected_at[visited] = max(
                     [
                         entry.released_at,
-                        *(expected_at[name] + self._active[name].spec.estimated_run_s for name in dependencies),
+                        *(expected_at[other] + self._active[other].spec.estimated_run_s for other in dependencies),
                     ]
                 )
         return expected_at.get(job_id, 0.0)
--- a/tealhook/jobs/index.py
+++ b/tealhook/jobs/index.py
@@ -67,7 +67,7 @@
 
     @property
     def is_synced(self) -> bool:
-        """Whether all records have been read once; until then, an active job may be missing from the index."""
+        """True once all records have been read; until then, an active job may be missing from the index."""
         return self.watcher.synced
 
     # -- job status
--- a/tealhook/jobs/job.py
+++ b/tealhook/jobs/job.py
@@ -45,18 +45,17 @@
         super().__init__(job_id, team, entry, now)
         self.chunk_revisions: dict[int, int] = {}  # the revision of each chunk that exists in the state store
         self.chunk_sizes: dict[int, int] = {}  # the size of each chunk when it was read, in bytes
-        self.dirty_chunks: set[int] = (
-            set()
-        )  # chunks that name attempts which have ended, or which another chunk names too
+        # Chunks that list attempts which have ended, or which another chunk lists too.
+        self.dirty_chunks: set[int] = set()
         self.moved_attempts: list[MovedAttempt] = []  # attempts that move with the last planned write
-        self.uncertain_chunks: set[int] = set()  # chunks that a write of unknown outcome may still create
+        self.uncertain_chunks: set[int] = set()  # chunks to which a write of unknown outcome may still copy attempts
         self.rejections = 0  # writes that recently exceeded the limits of the state store
         self.last_rejected_at = LONG_AGO_S
         self.write_not_before = LONG_AGO_S  # the earliest time of the next write
-        self.has_deferrable_change = False  # a change may wait before it is made durable
+        self.has_deferrable_change = False  # true if a change need not become durable at once
         self.deferrable_since = 0.0
         self.write_state = WriteState.SETTLED
-        self.is_loaded = False  # whether the assignment record has been read
+        self.is_loaded = False  # true once the assignment record has been read
         self.tasks_to_forget: list[FinishedTask] = []  # tasks whose workers forget them after the next commit
 
     # -- writing the assignment record
@@ -72,8 +71,8 @@
         """Return the values of up to `max_chunks` chunks to write: the first one, and those that changed.
 
         Each staged attempt goes to the first chunk with space for it, so that the size of a record does not limit how
-        many tasks run at once: one record of 8 KiB names only about 250 machines. Attempts for which this write has
-        no space keep `NO_CHUNK`, and must be unstaged. `moved_attempts` is set to the attempts that other chunks name
+        many tasks run at once: one record of 8 KiB lists only about 250 machines. Attempts for which this write has
+        no space keep `NO_CHUNK`, and must be unstaged. `moved_attempts` is set to the attempts that other chunks list
         after the write; see `ChunkLayout`.
         """
         staged = sorted(self.staged.values(), key=by_task_index)
@@ -93,7 +92,7 @@
         return encode_first_chunk(attempts, self.resources, self.last_attempt_number, self.done, max_bytes)
 
     def move_attempts(self, moved: Iterable[MovedAttempt], written: set[int]) -> None:
-        """Record that attempts are durably named by other chunks, so that their former chunks may drop them."""
+        """Record that attempts are durably listed by other chunks, so that their former chunks may drop them."""
         for attempt, chunk in moved:
             if attempt.chunk not in written:
                 self.dirty_chunks.add(attempt.chunk)
@@ -104,7 +103,7 @@
     # -- reading the assignment record
 
     def forget_chunks_except(self, kept: set[int]) -> None:
-        """Forget which attempts the chunks outside `kept` name, before these chunks are read again."""
+        """Forget which attempts the chunks outside `kept` list, before these chunks are read again."""
         self.chunk_sizes = {chunk: size for chunk, size in self.chunk_sizes.items() if chunk in kept}
         for attempt in self.attempts.values():
             if attempt.chunk not in kept:
@@ -152,9 +151,9 @@
         self.attempts[attempt.index] = attempt
 
     def _resolve_duplicate(self, current: Attempt, attempt: Attempt) -> None:
-        """Resolve that a chunk names an attempt which is outdated, or which another chunk may name too.
+        """Handle an attempt in a chunk that is outdated, or that another chunk may list too.
 
-        If two chunks name attempts of the task, one of them is marked for rewriting.
+        If two chunks list attempts of the task, one of them is marked for rewriting.
         """
         chunk = attempt.chunk
         if current.number > attempt.number:
--- a/tealhook/jobs/job_entry.py
+++ b/tealhook/jobs/job_entry.py
@@ -57,7 +57,7 @@
 
     @property
     def is_blocked(self) -> bool:
-        """Whether the job is known to wait for its dependencies, so that none of its tasks may start."""
+        """True if the job is known to wait for dependencies, so that none of its tasks may start."""
         return bool(self.pending_dependencies or self.missing_chunks)
 
     def add_chunk(self, chunk: int, dependencies: list[str]) -> list[str]:
--- a/tealhook/jobs/tasks.py
+++ b/tealhook/jobs/tasks.py
@@ -12,7 +12,7 @@
 from tealhook.wire.users import JobKind, JobSpec
 
 FAILING_JOB_MIN_FAILURES = 3  # consecutive failures from which on a job runs only one task at a time
-MAX_AVOIDED_MACHINES = 8  # number of machines that a job avoids since its tasks failed on them most recently
+MAX_AVOIDED_MACHINES = 8  # how many of the machines on which its tasks failed last a job avoids
 
 
 class JobTasks:
@@ -27,7 +27,7 @@
         self.id = job_id
         self.team = team
         self.spec: JobSpec | None = entry.spec if entry else None
-        # Whether the job waits for dependencies, so that none of its tasks may start.
+        # True while the job waits for dependencies, so that none of its tasks may start.
         self.is_blocked = entry.is_blocked if entry else False
         self.priority = entry.priority if entry else 0  # the highest rank among the job and all its dependents
         self.deadline_at = math.inf  # the latest end that also lets its dependents meet their deadlines
@@ -39,24 +39,24 @@
         self.done_count = 0
         self.attempts: dict[int, Attempt] = {}  # task index -> durable attempt
         self.staged: dict[int, Attempt] = {}  # task index -> attempt that is being made durable
-        self._next_new_task = 0  # the first task that this scheduler has never taken to be staged
+        self._next_new_task = 0  # the lowest task index that `take_waiting_tasks` has not reached
         self._returned_tasks: list[int] = []  # heap of tasks that are waiting again
         self.schedulable_since = now  # time from which its tasks may be scheduled
         self.stopping_since: float | None = None  # time since which its tasks have to be stopped; None if active
         self.waiting_since = now  # time since which it has had waiting tasks
         self.last_assigned_at = -math.inf  # the last assignment of a task that this scheduler knows of
-        self.consecutive_failures = 0  # failed tasks since one was last done
+        self.consecutive_failures = 0  # failed attempts since a task was last done
         self.placement_not_before = 0.0  # the earliest time of the next placement
         self.avoided_machines: list[str] = []
 
     @property
     def is_finished(self) -> bool:
-        """Whether every task is done, while the job record still says that the job is active."""
+        """True if every task is done, but the job record does not show this yet."""
         return self.spec is not None and self.done_count >= self.task_count
 
     @property
     def is_gang(self) -> bool:
-        """Whether all tasks of the job have to start together."""
+        """True if all tasks of the job have to start together."""
         return self.spec is not None and self.spec.kind == JobKind.GANG
 
     def count_waiting(self) -> int:
@@ -125,7 +125,7 @@
 
     @property
     def is_failing(self) -> bool:
-        """Whether tasks have failed repeatedly and none was done in between, maybe due to a faulty submission.
+        """True if several tasks have failed and none was done in between, perhaps because of a faulty submission.
 
         Such a job is retried one task at a time and with growing backoff, and other jobs must not lose capacity to it.
         """
--- a/tealhook/jobs/team.py
+++ b/tealhook/jobs/team.py
@@ -13,7 +13,7 @@
         """Initialize the state without jobs; `token` is the fencing token of the ownership."""
         self.name = team
         self.token = token
-        self.is_ready = False  # whether all assignment records have been read
+        self.is_ready = False  # true once all assignment records have been read
         self.jobs: dict[str, Job] = {}
         self.estimate_feedback: dict[str, Feedback] = {}  # zone -> feedback on the team's run time estimates
         # Machine -> (partition token, sequence number) of the newest status update from the owner of its partition.
