--- a/tealhook/admission/cancellations.py
+++ b/tealhook/admission/cancellations.py
@@ -12,7 +12,7 @@
 from tealhook.jobs.record_store import JobRecordStore
 from tealhook.state_store import CallPriority, Outcome, ReadOutcome
 from tealhook.wire.common import encode_json, error_body
-from tealhook.wire.users import JobStatus, valid_job_id
+from tealhook.wire.users import JobStatus, is_valid_job_id
 
 MAX_RETRIES = 3  # of a write that met another one, or whose outcome is unknown
 
@@ -29,7 +29,7 @@
 
     def cancel(self, job: str, reply: Reply, retries: int = MAX_RETRIES, *, may_refuse: bool = True) -> None:
         """Cancel a job; `may_refuse`: not while calls to the state service are refused for overload."""
-        if not valid_job_id(job):
+        if not is_valid_job_id(job):
             reply(HTTPStatus.NOT_FOUND, error_body("no such job"))
             return
         ended = self._job_index.ended.get(job)
--- a/tealhook/admission/polls.py
+++ b/tealhook/admission/polls.py
@@ -10,7 +10,7 @@
 from tealhook.http import Reply
 from tealhook.jobs.index import JobIndex
 from tealhook.state_store import ReadOutcome
-from tealhook.wire.users import valid_job_id
+from tealhook.wire.users import is_valid_job_id
 
 NO_SUCH_JOB = Refusal(HTTPStatus.NOT_FOUND, "no such job")
 
@@ -27,7 +27,7 @@
 
     def answer(self, job: str, reply: Reply) -> None:
         """Answer a poll by a read: what this node remembers of an active job may be older than its last answer."""
-        if not valid_job_id(job):
+        if not is_valid_job_id(job):
             self._responder.refuse(reply, NO_SUCH_JOB)
             return
         ended = self._job_index.ended.get(job)
--- a/tealhook/fleet/listing.py
+++ b/tealhook/fleet/listing.py
@@ -64,13 +64,13 @@
             else:
                 self._on_list(listed)
 
-        self._call("GET", f"/rentals?after={after}&page={wire.LIST_PAGE}", None, on_answer)
+        self._call("GET", f"/rentals?after={after}&page={wire.MACHINE_LIST_PAGE_SIZE}", None, on_answer)
 
     def _list_next_page(self, after: str, listed: list[wire.ListedMachine]) -> None:
         """Fetch the next page once the rate limit allows it: a single refused page would cost the whole list."""
         now, token = self._effects.now(), self._token
         self._is_listing = True
-        self._page_count = 1 + len(listed) // wire.LIST_PAGE
+        self._page_count = 1 + len(listed) // wire.MACHINE_LIST_PAGE_SIZE
         if self._bucket.take(1, now):
             self._list_page(after, listed)
         else:
--- a/tealhook/http/client.py
+++ b/tealhook/http/client.py
@@ -39,7 +39,7 @@
         self._client = client
         self.stream = stream
         self.call: _Call | None = None
-        self._parser = MessageParser(responses=True, max_body=client.max_body)
+        self._parser = MessageParser(responses=True, max_body_bytes=client.max_body_bytes)
         stream.on_data = self._on_data
         stream.on_close = self._on_close
 
@@ -83,20 +83,26 @@
     """Calls to one address over at most `max_connections` connections; further calls wait their turn."""
 
     def __init__(
-        self, loop: Loop, addr: str, *, max_connections: int, max_body: int = 4 << 20, max_idle: int | None = None
+        self,
+        loop: Loop,
+        addr: str,
+        *,
+        max_connections: int,
+        max_body_bytes: int = 4 << 20,
+        max_idle_connections: int | None = None,
     ) -> None:
-        """`max_idle`: how many idle connections stay open for later calls; by default all of them."""
+        """`max_idle_connections`: how many idle connections stay open for later calls; by default all of them."""
         self._loop = loop
         self._addr = addr
         self._max = max_connections
-        self._max_idle = max_connections if max_idle is None else max_idle
-        self.max_body = max_body
+        self._max_idle_connections = max_connections if max_idle_connections is None else max_idle_connections
+        self.max_body_bytes = max_body_bytes
         self._free: list[_Connection] = []
         self._connections: set[_Connection] = set()
         self._waiting: deque[_Call] = deque()
 
     @property
-    def idle(self) -> bool:
+    def is_idle(self) -> bool:
         """Whether no answer is waited for."""
         return not self._waiting and all(connection.call is None for connection in self._connections)
 
@@ -137,7 +143,7 @@
 
     def free(self, connection: _Connection) -> None:
         """A connection has answered its call and can carry the next one."""
-        if len(self._free) >= self._max_idle:
+        if len(self._free) >= self._max_idle_connections:
             connection.stream.close()
         else:
             self._free.append(connection)
--- a/tealhook/http/parser.py
+++ b/tealhook/http/parser.py
@@ -13,8 +13,8 @@
 
 from tealhook.errors import TealhookError
 
-MAX_HEAD = 16 * 1024
-MAX_BODY = 64 * 1024
+MAX_HEAD_BYTES = 16 * 1024
+MAX_BODY_BYTES = 64 * 1024
 MAX_CHUNK_LINE = 1024
 _TOKEN = re.compile(r"[!#$%&'*+\-.^_`|~0-9A-Za-z]+")
 
@@ -86,15 +86,19 @@
     """Feed it bytes; `next()` gives messages as they become whole."""
 
     @overload
-    def __init__(self: MessageParser[Request], *, responses: Literal[False], max_body: int = MAX_BODY) -> None: ...
+    def __init__(
+        self: MessageParser[Request], *, responses: Literal[False], max_body_bytes: int = MAX_BODY_BYTES
+    ) -> None: ...
 
     @overload
-    def __init__(self: MessageParser[Response], *, responses: Literal[True], max_body: int = MAX_BODY) -> None: ...
+    def __init__(
+        self: MessageParser[Response], *, responses: Literal[True], max_body_bytes: int = MAX_BODY_BYTES
+    ) -> None: ...
 
-    def __init__(self, *, responses: bool, max_body: int = MAX_BODY) -> None:
-        """`responses`: parse responses instead of requests; a body above `max_body` bytes is refused."""
+    def __init__(self, *, responses: bool, max_body_bytes: int = MAX_BODY_BYTES) -> None:
+        """`responses`: parse responses instead of requests; a body above `max_body_bytes` bytes is refused."""
         self._responses = responses
-        self._max_body = max_body
+        self._max_body_bytes = max_body_bytes
         self._buffer = bytearray()
         # Which of the two it is follows from `responses`, as the overloads say.
         self._first_line: Callable[[str, dict[str, str]], Message] = (
@@ -112,12 +116,12 @@
         self._buffer += data
 
     @property
-    def overfull(self) -> bool:
+    def is_overfull(self) -> bool:
         """Whether more bytes wait to be parsed than one message may have."""
-        return len(self._buffer) > MAX_HEAD + self._max_body
+        return len(self._buffer) > MAX_HEAD_BYTES + self._max_body_bytes
 
     @property
-    def idle(self) -> bool:
+    def is_idle(self) -> bool:
         """Whether no message has begun."""
         return self._message is None and not self._buffer
 
@@ -130,7 +134,7 @@
                 return None
         else:
             if self._length is None or len(self._buffer) < self._length:
-                if len(self._buffer) > self._max_body:
+                if len(self._buffer) > self._max_body_bytes:
                     raise HttpError(400, "body too large")
                 return None
             self._body = self._buffer[: self._length]
@@ -160,10 +164,10 @@
             del self._buffer[:2]
         end = self._buffer.find(b"\r\n\r\n")
         if end < 0:
-            if len(self._buffer) > MAX_HEAD:
+            if len(self._buffer) > MAX_HEAD_BYTES:
                 raise HttpError(431, "head too large")
             return False
-        if end > MAX_HEAD:
+        if end > MAX_HEAD_BYTES:
             raise HttpError(431, "head too large")
         lines = self._buffer[:end].decode("latin-1").split("\r\n")
         del self._buffer[: end + 4]
@@ -203,7 +207,7 @@
         elif length is not None:
             if not (length.isascii() and length.isdecimal()):
                 raise HttpError(400, "malformed content-length")
-            if len(length) > 12 or int(length) > self._max_body:
+            if len(length) > 12 or int(length) > self._max_body_bytes:
                 raise HttpError(400, "body too large")
             self._length = int(length)
         elif isinstance(self._message, Response) and self._message.status not in (204, 304):
@@ -253,7 +257,7 @@
             size = int(digits, 16)
         except ValueError:
             raise HttpError(400, "malformed chunk") from None
-        if len(self._body) + size > self._max_body:
+        if len(self._body) + size > self._max_body_bytes:
             raise HttpError(400, "body too large")
         return size
 
--- a/tealhook/http/server.py
+++ b/tealhook/http/server.py
@@ -61,7 +61,7 @@
         if self._refused:
             return
         self._parser.feed(data)
-        if self._busy and self._parser.overfull:
+        if self._busy and self._parser.is_overfull:
             self._stream.close()  # guards memory against a client that pipelines without limit
             return
         self._step()
@@ -100,7 +100,7 @@
             self._stream.write(encode_response(status, body, keep_alive, retry_after_s))
             if not keep_alive:
                 self._stream.finish()
-            elif not self._parser.idle:
+            elif not self._parser.is_idle:
                 self._step()
 
         try:
@@ -130,17 +130,17 @@
         *,
         max_connections: int,
         idle_s: float,
-        short_when_crowded: str | None = None,
+        close_when_crowded: str | None = None,
     ) -> None:
-        """`handler` answers requests, now or later; who answers later must not do so while `crowded`.
+        """`handler` answers requests, now or later; who answers later must not do so while `is_crowded`.
 
-        `short_when_crowded`: the path of requests whose connections are closed after the answer while that is so.
+        `close_when_crowded`: the path of requests whose connections are closed after the answer while that is so.
         """
         self.loop = loop
         self.handler = handler
         self._max = max_connections
         self._idle_s = idle_s
-        self._short_when_crowded = short_when_crowded
+        self._close_when_crowded = close_when_crowded
         self._connections: OrderedDict[_Connection, None] = OrderedDict()
         self._sock = listen(addr, max_connections)  # all workers of a fleet may come at once
         loop.watch(self._sock, 1, self._accept)
@@ -160,7 +160,7 @@
             self._connections[connection] = None
 
     @property
-    def crowded(self) -> bool:
+    def is_crowded(self) -> bool:
         """Whether answers may be held open no longer: an idle connection can be closed for a new one, one that waits
         for its answer can't, and users must always get in."""
         return len(self._connections) > ROOMY_SHARE * self._max
@@ -171,7 +171,7 @@
         With more workers than connections, an idle one is closed for each that comes. One that is told so opens a new
         connection for its next report; one that is closed just as that report is on its way takes this node for dead.
         """
-        return request.target == self._short_when_crowded and self.crowded
+        return request.target == self._close_when_crowded and self.is_crowded
 
     def _evict(self) -> bool:
         """Close the connection that has been idle longest; False when all are at work."""
--- a/tealhook/mesh/transport.py
+++ b/tealhook/mesh/transport.py
@@ -8,12 +8,12 @@
 
 from tealhook.loop import Loop
 from tealhook.loop.stream import Stream, listen
-from tealhook.wire.mesh import MAX_FRAME
+from tealhook.wire.mesh import MAX_FRAME_BYTES
 
 log = logging.getLogger(__name__)
 
 LENGTH_BYTES = 4  # of the length before each frame
-MAX_QUEUED = 2 * MAX_FRAME  # to a peer that does not read; the gossip of thousands of machines is one frame
+MAX_QUEUED = 2 * MAX_FRAME_BYTES  # to a peer that does not read; the gossip of thousands of machines is one frame
 MAX_BATCH = 32 * 1024  # bytes of frames that wait to go out together
 BACKLOG = 32  # connections that peers may open at once
 INCOMING_PER_PEER = 4  # connections: after a network cut a peer opens new ones beside old ones that hang
@@ -30,7 +30,7 @@
         frames = []
         while len(self._buffer) >= LENGTH_BYTES:
             size = int.from_bytes(self._buffer[:LENGTH_BYTES], "big")
-            if size > MAX_FRAME:
+            if size > MAX_FRAME_BYTES:
                 return None
             if len(self._buffer) < LENGTH_BYTES + size:
                 break
--- a/tealhook/mesh_handler.py
+++ b/tealhook/mesh_handler.py
@@ -77,7 +77,7 @@
             reply(wire.Refused("not the owner"))
             return
         match body:
-            case wire.CapacityInquiry():
+            case wire.CapacityRequest():
                 reply(partition.inquire(body.requirements))
             case wire.ReserveRequest():
                 reply(partition.reserve(body))
--- a/tealhook/partitions/heartbeats.py
+++ b/tealhook/partitions/heartbeats.py
@@ -92,12 +92,12 @@
         tasks: dict[AttemptKey, MachineTask] = {}
         has_changed = len(reports) != len(previous_tasks)
         for report in reports:
-            job_and_index = wire.parse_task_id(report.task)
+            job_and_index = wire.parse_task_id(report.task_id)
             if job_and_index is None:
                 continue
-            previous = previous_tasks.get((report.task, report.attempt))
+            previous = previous_tasks.get((report.task_id, report.attempt))
             task = previous or MachineTask(
-                report.task, job_and_index[0], job_and_index[1], report.attempt, "", None, now
+                report.task_id, job_and_index[0], job_and_index[1], report.attempt, "", None, now
             )
             if previous is None or previous.status != report.status:
                 self._on_status_change(machine, task, report, now)
@@ -142,7 +142,7 @@
         if log.isEnabledFor(logging.DEBUG) and task.reserved_at and task.running_since:
             log.debug(
                 "task %s exited (%s) on %s: started %.2f s after its reservation, fetched for %.2f s, ran for %.2f s",
-                report.task,
+                report.task_id,
                 report.cause,
                 machine.name,
                 task.first_reported_at - task.reserved_at,
--- a/tealhook/partitions/interfaces.py
+++ b/tealhook/partitions/interfaces.py
@@ -39,7 +39,7 @@
     """Load of the server whose connections workers and users share."""
 
     @property
-    def crowded(self) -> bool:
+    def is_crowded(self) -> bool:
         """True while connections are scarce."""
         ...
 
@@ -47,4 +47,4 @@
 class UnlimitedConnections:
     """Load of a controller without a server of its own, whose connections are never scarce."""
 
-    crowded = False
+    is_crowded = False
--- a/tealhook/partitions/manager.py
+++ b/tealhook/partitions/manager.py
@@ -123,7 +123,9 @@
             reply(200, partition.responses.build_body(None))
             return
         # With all workers of a large fleet on one node, open heartbeats would leave no connections for users.
-        hold_s = 0.0 if relayed or self.connection_load.crowded else partition.responses.hold_open_s(heartbeat.machine)
+        hold_s = (
+            0.0 if relayed or self.connection_load.is_crowded else partition.responses.hold_open_s(heartbeat.machine)
+        )
         if hold_s <= 0:
             reply(200, partition.responses.build_body(heartbeat.machine))
             return
--- a/tealhook/runtime.py
+++ b/tealhook/runtime.py
@@ -52,9 +52,11 @@
             self.loop,
             settings.services.state,
             max_connections=STATE_CONNECTIONS,
-            max_body=max(MIN_ANSWER_BYTES, int(limits.memory_bytes(ANSWER_SHARE))),
+            max_body_bytes=max(MIN_ANSWER_BYTES, int(limits.memory_bytes(ANSWER_SHARE))),
+        )
+        self._cloud = HttpClient(
+            self.loop, settings.services.cloud, max_connections=CLOUD_CONNECTIONS, max_idle_connections=1
         )
-        self._cloud = HttpClient(self.loop, settings.services.cloud, max_connections=CLOUD_CONNECTIONS, max_idle=1)
         self._workers: dict[str, HttpClient] = {}
         self.max_worker_calls = max_worker_calls(settings)
         self.transport: MeshTransport  # set by `serve` before anything is sent: it needs the controller
@@ -76,7 +78,7 @@
         client = self._workers.pop(addr, None)
         if client is None:
             if len(self._workers) >= self.max_worker_calls:
-                idle = next((addr for addr, client in self._workers.items() if client.idle), None)
+                idle = next((addr for addr, client in self._workers.items() if client.is_idle), None)
                 if idle is None:  # no call in progress is given up for a new one: the new one fails
                     self.loop.later(0.0, lambda: answer(None, b""))
                     return
@@ -129,7 +131,7 @@
         controller.on_request,
         max_connections=max(MIN_SERVER_CONNECTIONS, settings.params.limits.max_connections - spare),
         idle_s=max(MIN_IDLE_S, 4 * settings.params.workers.lease_s),
-        short_when_crowded=HEARTBEAT_PATH,
+        close_when_crowded=HEARTBEAT_PATH,
     )
 
 
--- a/tealhook/scheduling/attempts.py
+++ b/tealhook/scheduling/attempts.py
@@ -148,7 +148,7 @@
             self._backoff.on_failed_attempt(job, attempt, cause, now)
             self._reschedule(team_state, job, attempt, now)
         self._job_cleanup.remove_if_unassigned(team_state, job)
-        stops.append(wire.TaskStop(attempt.machine, job.id, attempt.index, attempt.number, wire.FORGET))
+        stops.append(wire.TaskStop(attempt.machine, job.id, attempt.index, attempt.number, wire.FORGET_GRACE_PERIOD_S))
 
     def _on_completed(self, team_state: TeamState, job: Job, attempt: Attempt, now: float) -> None:
         """Mark the task of a successful attempt done; its worker may forget it only once that is durable."""
@@ -181,7 +181,11 @@
             if job is not None and observed.cause == ExitCause.DONE and job.spec is not None:
                 self._on_late_completion(job, observed, update, stops)
             else:
-                stops.append(wire.TaskStop(update.machine, observed.job, observed.index, observed.attempt, wire.FORGET))
+                stops.append(
+                    wire.TaskStop(
+                        update.machine, observed.job, observed.index, observed.attempt, wire.FORGET_GRACE_PERIOD_S
+                    )
+                )
         elif observed.status != wire.LAUNCHING:
             # The stop command may be lost, so the machine is reconciled until it no longer reports the attempt.
             team_state.machines_with_orphans[update.machine] = update.zone
--- a/tealhook/scheduling/planning.py
+++ b/tealhook/scheduling/planning.py
@@ -32,7 +32,7 @@
 
     def requests(self) -> dict[str, wire.Body]:
         """Return the request for each zone."""
-        return {zone: wire.CapacityInquiry(zone, self.requirements) for zone in self.owners}
+        return {zone: wire.CapacityRequest(zone, self.requirements) for zone in self.owners}
 
     def on_reply(self, zone: str, reply: wire.Body | None) -> None:
         """Keep a reply if it has a capacity for each of the requirements."""
--- a/tealhook/scheduling/stop_commands.py
+++ b/tealhook/scheduling/stop_commands.py
@@ -41,7 +41,7 @@
         """Have workers forget tasks whose outcome is durable; earlier, a repeated launch would start them again."""
         stops_by_zone: dict[str, list[wire.TaskStop]] = {}
         for zone, machine, index, number in job.to_forget:
-            stop = wire.TaskStop(machine, job.id, index, number, wire.FORGET)
+            stop = wire.TaskStop(machine, job.id, index, number, wire.FORGET_GRACE_PERIOD_S)
             stops_by_zone.setdefault(zone, []).append(stop)
         job.to_forget.clear()
         for zone, stops in stops_by_zone.items():
--- a/tealhook/user.py
+++ b/tealhook/user.py
@@ -11,7 +11,7 @@
 from typing import Any, NamedTuple
 
 from tealhook.errors import TealhookError
-from tealhook.wire.users import valid_job_id
+from tealhook.wire.users import is_valid_job_id
 
 EXIT_OK, EXIT_FAILED, EXIT_USAGE = 0, 1, 2
 CALL_TIMEOUT_S = 5.0
@@ -72,7 +72,7 @@
     """Method, path and body of a command's request."""
     if command == "submit":
         return "POST", "/work", _job_file(job)
-    if not valid_job_id(job):
+    if not is_valid_job_id(job):
         raise UnusableJobError("expected a job id such as req-000412")
     return ("GET", f"/work/{job}", None) if command == "show" else ("POST", f"/work/{job}/abort", None)
 
--- a/tealhook/wire/cloud.py
+++ b/tealhook/wire/cloud.py
@@ -10,7 +10,7 @@
 
 MAX_RENTED_AT_ONCE = 50
 MAX_RELEASED_AT_ONCE = 100
-LIST_PAGE = 500
+MACHINE_LIST_PAGE_SIZE = 500
 
 
 class MachineStatus(enum.StrEnum):
--- a/tealhook/wire/job_parser.py
+++ b/tealhook/wire/job_parser.py
@@ -11,7 +11,7 @@
 import msgspec
 
 from tealhook.errors import TealhookError
-from tealhook.wire.users import JobKind, JobPriority, JobSpec, valid_job_id
+from tealhook.wire.users import JobKind, JobPriority, JobSpec, is_valid_job_id
 
 MAX_TASKS = 100_000
 MAX_JOB_CLASS_LENGTH = 200  # characters; the name goes along with demand from node to node
@@ -85,7 +85,7 @@
 
 
 def _job_ids(value: Any) -> list[str]:
-    if type(value) is not list or not all(type(job) is str and valid_job_id(job) for job in value):
+    if type(value) is not list or not all(type(job) is str and is_valid_job_id(job) for job in value):
         raise InvalidJobError("must be a list of job ids, or null")
     return list(dict.fromkeys(value))  # to name a job twice says nothing more
 
@@ -178,7 +178,7 @@
     except (msgspec.DecodeError, ValueError, RecursionError) as exc:
         raise InvalidJobError(str(exc)) from None
     job_id = _value(fields, "name_id")
-    if type(job_id) is not str or not valid_job_id(job_id) or "name_id" in repeated:
+    if type(job_id) is not str or not is_valid_job_id(job_id) or "name_id" in repeated:
         raise InvalidJobError("not a job id, or not one alone", "name_id")
     try:
         return _checked_spec(job_id, fields, repeated)
--- a/tealhook/wire/mesh/__init__.py
+++ b/tealhook/wire/mesh/__init__.py
@@ -5,13 +5,13 @@
 
 from tealhook.wire.mesh.capacity import (
     Capacity,
-    CapacityInquiry,
     CapacityReply,
+    CapacityRequest,
     PartitionRequest,
     TaskRequirements,
 )
 from tealhook.wire.mesh.envelope import (
-    MAX_FRAME,
+    MAX_FRAME_BYTES,
     NO_REPLY,
     Acknowledged,
     Body,
@@ -39,7 +39,7 @@
     JobProgress,
 )
 from tealhook.wire.mesh.launches import (
-    FORGET,
+    FORGET_GRACE_PERIOD_S,
     LaunchReply,
     LaunchRequest,
     StopRequest,
@@ -64,12 +64,12 @@
     "Acknowledged",
     "Body",
     "Capacity",
-    "CapacityInquiry",
+    "CapacityRequest",
     "CapacityReply",
     "Demand",
     "DrainRequest",
     "Envelope",
-    "FORGET",
+    "FORGET_GRACE_PERIOD_S",
     "FenceRequest",
     "ForwardReply",
     "ForwardRequest",
@@ -78,7 +78,7 @@
     "LAUNCHING",
     "LaunchReply",
     "LaunchRequest",
-    "MAX_FRAME",
+    "MAX_FRAME_BYTES",
     "MachineState",
     "MachinesReleased",
     "NO_REPLY",
--- a/tealhook/wire/mesh/capacity.py
+++ b/tealhook/wire/mesh/capacity.py
@@ -37,7 +37,7 @@
     fetch_gb_per_s: float
 
 
-class CapacityInquiry(PartitionRequest, tag="ask"):
+class CapacityRequest(PartitionRequest, tag="ask"):
     """Asks a partition's owner how many tasks fit, and when the next one will."""
 
     requirements: list[TaskRequirements] = msgspec.field(name="shapes")
--- a/tealhook/wire/mesh/envelope.py
+++ b/tealhook/wire/mesh/envelope.py
@@ -4,7 +4,7 @@
 
 import msgspec
 
-from tealhook.wire.mesh.capacity import CapacityInquiry, CapacityReply
+from tealhook.wire.mesh.capacity import CapacityReply, CapacityRequest
 from tealhook.wire.mesh.fleet import DrainRequest, FenceRequest, MachinesReleased
 from tealhook.wire.mesh.forwarding import ForwardReply, ForwardRequest, RelayReply, RelayRequest
 from tealhook.wire.mesh.gossip import Gossip
@@ -12,7 +12,7 @@
 from tealhook.wire.mesh.reconciliation import ReconcileReply, ReconcileRequest, StatusUpdate
 from tealhook.wire.mesh.reservations import ReserveReply, ReserveRequest
 
-MAX_FRAME = 4 * 1024 * 1024  # bytes of an encoded envelope; a larger one ends the connection
+MAX_FRAME_BYTES = 4 * 1024 * 1024  # bytes of an encoded envelope; a larger one ends the connection
 NO_REPLY = 0  # the `call` of a message that expects no reply
 
 
@@ -27,7 +27,7 @@
 
 
 Body = (
-    CapacityInquiry
+    CapacityRequest
     | CapacityReply
     | ReserveRequest
     | ReserveReply
--- a/tealhook/wire/mesh/launches.py
+++ b/tealhook/wire/mesh/launches.py
@@ -6,7 +6,8 @@
 
 from tealhook.wire.mesh.capacity import PartitionRequest
 
-FORGET = -1.0  # a grace period: the attempt has ended and its outcome is on record, so the worker may forget it
+# The attempt has ended and its outcome is recorded, so its worker may forget it instead of stopping it.
+FORGET_GRACE_PERIOD_S = -1.0
 
 
 class TaskStart(msgspec.Struct, array_like=True):
@@ -39,9 +40,9 @@
 
 
 class TaskStop(msgspec.Struct, array_like=True, forbid_unknown_fields=True):
-    """An attempt that a machine is to stop within a grace period, or to forget: any negative period, as `FORGET`.
+    """An attempt that a machine is to stop within a grace period, or to forget if the period is negative.
 
-    Its encoding is that of a tuple of these five items: more or fewer are refused.
+    It is encoded like a tuple of these five items; decoding fails if there are more or fewer.
     """
 
     machine: str
--- a/tealhook/wire/state.py
+++ b/tealhook/wire/state.py
@@ -90,7 +90,7 @@
 
     key: str = msgspec.field(name="write")
     value: Any = msgspec.field(name="v")
-    lease: int | None = msgspec.field(name="hold", default=None)
+    lease_id: int | None = msgspec.field(name="hold", default=None)
 
 
 class Delete(msgspec.Struct):
@@ -112,9 +112,9 @@
     operations: Sequence[Operation] = msgspec.field(name="apply")
 
 
-def put(key: str, value: Any, lease: int | None = None) -> Put:
+def put(key: str, value: Any, lease_id: int | None = None) -> Put:
     """The operation that sets `key` to `value`."""
-    return Put(key, value, lease)
+    return Put(key, value, lease_id)
 
 
 def delete(key: str) -> Delete:
--- a/tealhook/wire/users.py
+++ b/tealhook/wire/users.py
@@ -94,6 +94,6 @@
     running: int | None = None
 
 
-def valid_job_id(text: str) -> bool:
+def is_valid_job_id(text: str) -> bool:
     """Whether `text` has the form of a job id."""
     return bool(_JOB_ID.match(text))
--- a/tealhook/wire/workers.py
+++ b/tealhook/wire/workers.py
@@ -46,7 +46,7 @@
 class TaskReport(msgspec.Struct, omit_defaults=True):
     """One task on a machine as its worker reports it."""
 
-    task: str = msgspec.field(name="play")
+    task_id: str = msgspec.field(name="play")
     attempt: int = msgspec.field(name="try")
     status: str
     cause: str | None = None
@@ -72,7 +72,7 @@
     """A command to a worker."""
 
     action: str = msgspec.field(name="verb")
-    task: str = msgspec.field(name="play")
+    task_id: str = msgspec.field(name="play")
     attempt: int = msgspec.field(name="try")
     grace_period_s: float | None = msgspec.field(default=None, name="wind_down_s")
 
@@ -88,7 +88,7 @@
 class Redirection(msgspec.Struct):
     """The body of a 421 answer: the controller that owns the partition, by its name."""
 
-    leader: str = msgspec.field(name="boss")
+    owner: str = msgspec.field(name="boss")
 
 
 heartbeat_decoder = msgspec.json.Decoder(Heartbeat)
