--- a/tealhook/http/__init__.py
+++ b/tealhook/http/__init__.py
@@ -1,4 +1,4 @@
-"""HTTP/1.1 on the loop: incremental parser, client and server connections."""
+"""HTTP/1.1 on the event loop: an incremental parser, a client and a server."""
 
 from tealhook.http.client import HttpClient
 from tealhook.http.parser import HttpError, MessageParser, Request, Response
--- a/tealhook/http/client.py
+++ b/tealhook/http/client.py
@@ -1,4 +1,4 @@
-"""HTTP client connections on the loop: persistent, one request at a time on each."""
+"""An HTTP client on the event loop, whose persistent connections carry one request at a time each."""
 
 from __future__ import annotations
 
@@ -10,30 +10,30 @@
 from tealhook.loop import Loop, Timer
 from tealhook.loop.stream import Stream
 
-Callback = Callable[[int | None, bytes], None]
+ResponseCallback = Callable[[int | None, bytes], None]
 
 
 class _Call:
-    """One request and its callback, which is called exactly once: with the response, or when the time is up."""
+    """A request and its callback, which is called exactly once: with the response, or without one on failure."""
 
-    __slots__ = ("data", "callback", "timer", "done")
+    __slots__ = ("data", "callback", "timer", "is_finished")
 
-    def __init__(self, data: bytes, callback: Callback) -> None:
+    def __init__(self, data: bytes, callback: ResponseCallback) -> None:
         self.data = data
         self.callback = callback
         self.timer: Timer | None = None
-        self.done = False
+        self.is_finished = False
 
     def finish(self, status: int | None, body: bytes) -> None:
-        if not self.done:
-            self.done = True
+        if not self.is_finished:
+            self.is_finished = True
             if self.timer is not None:
                 self.timer.cancel()
             self.callback(status, body)
 
 
 class _Connection:
-    """One connection and the call it is carrying."""
+    """A connection and the call that it carries, if any."""
 
     def __init__(self, client: HttpClient, stream: Stream) -> None:
         self._client = client
@@ -51,27 +51,27 @@
         self._parser.feed(data)
         try:
             response = self._parser.next()
-            while response is not None and response.status < 200:  # interim answers are passed over
+            while response is not None and response.status < 200:  # Interim responses are skipped.
                 response = self._parser.next()
         except HttpError:
             self.stream.close()
             return
         if response is not None:
-            self._answered(response)
+            self._on_response(response)
 
-    def _answered(self, response: Response) -> None:
+    def _on_response(self, response: Response) -> None:
         call, self.call = self.call, None
         if call is None or not response.keep_alive:
             self.stream.close()
         else:
-            self._client.free(self)
+            self._client.release(self)
         if call is not None:
             call.finish(response.status, response.body)
 
     def _on_close(self) -> None:
         response = self._parser.end()
         call, self.call = self.call, None
-        self._client.lost(self)
+        self._client.remove(self)
         if call is not None:
             if response is not None:
                 call.finish(response.status, response.body)
@@ -80,7 +80,7 @@
 
 
 class HttpClient:
-    """Calls to one address over at most `max_connections` connections; further calls wait their turn."""
+    """A client of one address with at most `max_connections` connections; further calls wait for one of them."""
 
     def __init__(
         self,
@@ -91,73 +91,78 @@
         max_body_bytes: int = 4 << 20,
         max_idle_connections: int | None = None,
     ) -> None:
-        """`max_idle_connections`: how many idle connections stay open for later calls; by default all of them."""
+        """Initialize the client; no connection is opened before the first request.
+
+        At most `max_idle_connections` idle connections stay open for later calls, by default all of them.
+        """
         self._loop = loop
         self._addr = addr
-        self._max = max_connections
+        self._max_connections = max_connections
         self._max_idle_connections = max_connections if max_idle_connections is None else max_idle_connections
         self.max_body_bytes = max_body_bytes
-        self._free: list[_Connection] = []
+        self._idle_connections: list[_Connection] = []
         self._connections: set[_Connection] = set()
-        self._waiting: deque[_Call] = deque()
+        self._waiting_calls: deque[_Call] = deque()
 
     @property
     def is_idle(self) -> bool:
-        """Whether no answer is waited for."""
-        return not self._waiting and all(connection.call is None for connection in self._connections)
+        """True if no call is in progress or waiting."""
+        return not self._waiting_calls and all(connection.call is None for connection in self._connections)
 
-    def request(self, method: str, target: str, body: bytes | None, timeout: float, callback: Callback) -> None:
-        """Call back with (status, body), or (None, b"") when there was no answer in time."""
+    def request(
+        self, method: str, target: str, body: bytes | None, timeout_s: float, callback: ResponseCallback
+    ) -> None:
+        """Send a request, and call back with (status, body), or with (None, b"") if no response arrives in time."""
         call = _Call(encode_request(method, target, self._addr, body), callback)
-        call.timer = self._loop.later(timeout, lambda: self._timeout(call))
-        self._waiting.append(call)
-        self._pump()
+        call.timer = self._loop.later(timeout_s, lambda: self._on_timeout(call))
+        self._waiting_calls.append(call)
+        self._start_waiting_calls()
 
-    def _timeout(self, call: _Call) -> None:
+    def _on_timeout(self, call: _Call) -> None:
         for connection in self._connections:
             if connection.call is call:
-                connection.stream.close()  # an answer that comes later must not be taken for another call's
+                connection.stream.close()  # A late response must not be taken for another call's.
                 break
         call.finish(None, b"")
 
-    def _pump(self) -> None:
-        while self._waiting:
-            if self._waiting[0].done:
-                self._waiting.popleft()
+    def _start_waiting_calls(self) -> None:
+        while self._waiting_calls:
+            if self._waiting_calls[0].is_finished:
+                self._waiting_calls.popleft()
                 continue
-            while self._free and self._free[-1].stream.closed:
-                self._free.pop()
-            if self._free:
-                connection = self._free.pop()
-            elif len(self._connections) < self._max:
+            while self._idle_connections and self._idle_connections[-1].stream.closed:
+                self._idle_connections.pop()
+            if self._idle_connections:
+                connection = self._idle_connections.pop()
+            elif len(self._connections) < self._max_connections:
                 stream = Stream.connect(self._loop, self._addr)
                 if stream is None:
-                    call = self._waiting.popleft()
+                    call = self._waiting_calls.popleft()
                     self._loop.later(0.0, partial(call.finish, None, b""))
                     continue
                 connection = _Connection(self, stream)
                 self._connections.add(connection)
             else:
                 return
-            connection.start(self._waiting.popleft())
+            connection.start(self._waiting_calls.popleft())
 
-    def free(self, connection: _Connection) -> None:
-        """A connection has answered its call and can carry the next one."""
-        if len(self._free) >= self._max_idle_connections:
+    def release(self, connection: _Connection) -> None:
+        """Take back a connection whose call is answered, so that it can carry the next one."""
+        if len(self._idle_connections) >= self._max_idle_connections:
             connection.stream.close()
         else:
-            self._free.append(connection)
-        self._loop.later(0.0, self._pump) if self._waiting else None
+            self._idle_connections.append(connection)
+        self._loop.later(0.0, self._start_waiting_calls) if self._waiting_calls else None
 
-    def lost(self, connection: _Connection) -> None:
-        """A connection has closed; calls that wait for one may open another."""
+    def remove(self, connection: _Connection) -> None:
+        """Remove a connection that has closed; waiting calls may open another one."""
         self._connections.discard(connection)
-        if connection in self._free:
-            self._free.remove(connection)
-        if self._waiting:
-            self._loop.later(0.0, self._pump)
+        if connection in self._idle_connections:
+            self._idle_connections.remove(connection)
+        if self._waiting_calls:
+            self._loop.later(0.0, self._start_waiting_calls)
 
     def close(self) -> None:
-        """Close every connection; a call in progress gets no answer."""
+        """Close every connection; calls in progress get no response."""
         for connection in list(self._connections):
             connection.stream.close()
--- a/tealhook/http/server.py
+++ b/tealhook/http/server.py
@@ -1,4 +1,4 @@
-"""HTTP server connections on the loop."""
+"""An HTTP server on the event loop."""
 
 from __future__ import annotations
 
@@ -14,17 +14,17 @@
 
 log = logging.getLogger(__name__)
 
-ROOMY_SHARE = 0.75  # of the connections: with fewer open, answers to workers may be held for a while
-RETRY_AFTER_S = 1  # what clients are told who are to come back, where the handler does not say when
-COME_BACK = frozenset((429, 503))
-MAX_OUT = 64 * 1024  # one answer at a time goes out on a connection, and none is larger by the protocol
+CROWDED_CONNECTION_SHARE = 0.75  # Up to this share of all connections, responses to workers may be held open.
+DEFAULT_RETRY_AFTER_S = 1  # sent with retryable statuses if the handler gives no time
+RETRYABLE_STATUSES = frozenset((429, 503))
+MAX_OUTPUT_BYTES = 64 * 1024  # A connection sends one response at a time, which the protocol limits to this size.
 
 
 class Reply(Protocol):
-    """Answers one request, now or later; only the first call counts."""
+    """A callback that answers one request, now or later; only the first call has an effect."""
 
     def __call__(self, status: int, body: bytes = b"{}", retry_after_s: int | None = None, /) -> object:
-        """`retry_after_s`: seconds after which the client should repeat the request."""
+        """Send the response; the client should repeat the request after `retry_after_s`, if given."""
         ...
 
 
@@ -32,95 +32,95 @@
 
 
 class _Connection:
-    """One client: a request at a time, each answered before the next is parsed."""
+    """A connection of a client; each request is answered before the next one is parsed."""
 
     def __init__(self, server: HttpServer, stream: Stream) -> None:
         self._server = server
         self._stream = stream
         self._parser = MessageParser(responses=False)
-        self._busy = False
-        self._refused = False  # what still comes is read and thrown away
-        self.active_at = server.loop.now()
-        self.begun_at = 0.0  # when the request now being read began; 0: none
+        self._is_busy = False
+        self._is_rejected = False  # Further input is read and discarded.
+        self.last_active_at = server.loop.now()
+        self.request_started_at = 0.0  # of the request that is being read, or 0 if there is none
         stream.on_data = self._on_data
-        stream.on_close = lambda: server.forget(self)
+        stream.on_close = lambda: server.remove(self)
 
     @property
-    def busy(self) -> bool:
-        """Whether a request of this connection waits for its answer."""
-        return self._busy
+    def is_busy(self) -> bool:
+        """True while a request of this connection waits for its response."""
+        return self._is_busy
 
     def close(self) -> None:
-        """Close the connection, whatever it is doing."""
+        """Close the connection, even if a request is in progress."""
         self._stream.close()
 
     def _on_data(self, data: bytes) -> None:
-        self.active_at = self._server.loop.now()
-        if not self.begun_at:
-            self.begun_at = self.active_at
-        if self._refused:
+        self.last_active_at = self._server.loop.now()
+        if not self.request_started_at:
+            self.request_started_at = self.last_active_at
+        if self._is_rejected:
             return
         self._parser.feed(data)
-        if self._busy and self._parser.is_overfull:
-            self._stream.close()  # guards memory against a client that pipelines without limit
+        if self._is_busy and self._parser.is_overfull:
+            self._stream.close()  # limits the memory that a pipelining client can take
             return
-        self._step()
+        self._process_next_request()
 
-    def _step(self) -> None:
-        if self._busy or self._stream.closed:
+    def _process_next_request(self) -> None:
+        if self._is_busy or self._stream.closed:
             return
         try:
             request = self._parser.next()
         except HttpError as exc:
-            self._refuse(exc)
+            self._reject(exc)
             return
         if request is not None:
-            self._handle(request)
+            self._dispatch(request)
         elif self._parser.expects_continue:
             self._parser.expects_continue = False
             self._stream.write(b"HTTP/1.1 100 Continue\r\n\r\n")
 
-    def _handle(self, request: Request) -> None:
-        """Hand a request on; its answer may come at once or much later, and only the first one counts."""
-        self._busy = True
-        self.begun_at = 0.0
+    def _dispatch(self, request: Request) -> None:
+        """Pass a request to the handler, which may answer it now or later; only its first answer is sent."""
+        self._is_busy = True
+        self.request_started_at = 0.0
         answered = False
 
         def reply(status: int, body: bytes = b"{}", retry_after_s: int | None = None) -> None:
             nonlocal answered
             if answered:
                 return
-            if status in COME_BACK and retry_after_s is None:
-                retry_after_s = RETRY_AFTER_S
+            if status in RETRYABLE_STATUSES and retry_after_s is None:
+                retry_after_s = DEFAULT_RETRY_AFTER_S
             answered = True
-            self._busy = False
-            self.active_at = self._server.loop.now()
-            self._server.touch(self)
-            keep_alive = request.keep_alive and not self._server.closes_after(request)
+            self._is_busy = False
+            self.last_active_at = self._server.loop.now()
+            self._server.mark_used(self)
+            keep_alive = request.keep_alive and not self._server.should_close_after(request)
             self._stream.write(encode_response(status, body, keep_alive, retry_after_s))
             if not keep_alive:
                 self._stream.finish()
             elif not self._parser.is_idle:
-                self._step()
+                self._process_next_request()
 
         try:
             self._server.handler(request, reply)
         except Exception:
-            log.exception("request failed: %s %s", request.method, request.target)
+            log.exception("request handler failed with an unexpected error: %s %s", request.method, request.target)
             reply(500, error_body("internal error"), 1)
 
-    def _refuse(self, error: HttpError) -> None:
-        """Answer what is no request; the client closes, or the sweep once it has had time.
+    def _reject(self, error: HttpError) -> None:
+        """Answer a malformed request, and leave the connection open until the client closes it or it is stale.
 
-        To close while it still sends would reset the connection, and it might never read the answer.
+        To close it while the client still sends would reset the connection, and the response might be lost.
         """
-        self._refused = True
-        self._parser = MessageParser(responses=False)  # what was held of the request is let go
+        self._is_rejected = True
+        self._parser = MessageParser(responses=False)  # frees the bytes of the request
         self._stream.write(encode_response(error.status, error_body(str(error)), False))
 
 
 class HttpServer:
-    """Listens on `addr`; idle connections are closed when the share is used up or they are too old."""
+    """A server that closes idle connections after a time, or earlier if new ones need their place."""
 
     def __init__(
         self,
@@ -132,19 +132,20 @@
         idle_s: float,
         close_when_crowded: str | None = None,
     ) -> None:
-        """`handler` answers requests, now or later; who answers later must not do so while `is_crowded`.
+        """Listen on `addr`.
 
-        `close_when_crowded`: the path of requests whose connections are closed after the answer while that is so.
+        `handler` may answer requests later, except while `is_crowded`. While that is the case, the connections of
+        requests for the path `close_when_crowded` are closed after the response.
         """
         self.loop = loop
         self.handler = handler
-        self._max = max_connections
+        self._max_connections = max_connections
         self._idle_s = idle_s
         self._close_when_crowded = close_when_crowded
         self._connections: OrderedDict[_Connection, None] = OrderedDict()
-        self._sock = listen(addr, max_connections)  # all workers of a fleet may come at once
+        self._sock = listen(addr, max_connections)  # All workers of a fleet may connect at once.
         loop.watch(self._sock, 1, self._accept)
-        loop.later(idle_s / 4, self._sweep)
+        loop.later(idle_s / 4, self._close_stale_connections)
 
     def _accept(self, _events: int) -> None:
         for _ in range(64):
@@ -153,48 +154,52 @@
             except OSError:
                 return
             sock.setblocking(False)
-            if len(self._connections) >= self._max and not self._evict():
+            if len(self._connections) >= self._max_connections and not self._evict_idle_connection():
                 sock.close()
                 continue
-            connection = _Connection(self, Stream(self.loop, sock, max_out=MAX_OUT))
+            connection = _Connection(self, Stream(self.loop, sock, max_out=MAX_OUTPUT_BYTES))
             self._connections[connection] = None
 
     @property
     def is_crowded(self) -> bool:
-        """Whether answers may be held open no longer: an idle connection can be closed for a new one, one that waits
-        for its answer can't, and users must always get in."""
-        return len(self._connections) > ROOMY_SHARE * self._max
+        """True while responses must not be held open.
 
-    def closes_after(self, request: Request) -> bool:
-        """Whether a connection is closed with the answer to a request.
+        An idle connection can be closed for a new one, but one that waits for its response can't, and users must always
+        be able to connect.
+        """
+        return len(self._connections) > CROWDED_CONNECTION_SHARE * self._max_connections
+
+    def should_close_after(self, request: Request) -> bool:
+        """Check whether a connection is closed after the response to a request.
 
-        With more workers than connections, an idle one is closed for each that comes. One that is told so opens a new
-        connection for its next report; one that is closed just as that report is on its way takes this node for dead.
+        With more workers than connections, each new connection closes an idle one. A worker whose connection closes
+        with a response opens a new one for its next heartbeat, but a worker whose connection closes while that
+        heartbeat is on its way considers this node dead.
         """
         return request.target == self._close_when_crowded and self.is_crowded
 
-    def _evict(self) -> bool:
-        """Close the connection that has been idle longest; False when all are at work."""
+    def _evict_idle_connection(self) -> bool:
+        """Close the connection that has been idle longest, and return False if none is idle."""
         for connection in self._connections:
-            if not connection.busy:
+            if not connection.is_busy:
                 connection.close()
                 return True
         return False
 
-    def touch(self, connection: _Connection) -> None:
-        """A connection was used: it is now the last one to be closed for a new one."""
+    def mark_used(self, connection: _Connection) -> None:
+        """Mark a connection as most recently used, so that it is the last one to be evicted."""
         if connection in self._connections:
             self._connections.move_to_end(connection)
 
-    def forget(self, connection: _Connection) -> None:
-        """A connection has closed."""
+    def remove(self, connection: _Connection) -> None:
+        """Remove a connection that has closed."""
         self._connections.pop(connection, None)
 
-    def _sweep(self) -> None:
-        """Close what is idle too long, and clients that take too long over one request."""
+    def _close_stale_connections(self) -> None:
+        """Close connections that are idle for too long or take too long to send a request."""
         now = self.loop.now()
         for connection in list(self._connections):
-            slow = connection.begun_at and now - connection.begun_at > self._idle_s / 4
-            if not connection.busy and (now - connection.active_at > self._idle_s or slow):
+            is_slow = connection.request_started_at and now - connection.request_started_at > self._idle_s / 4
+            if not connection.is_busy and (now - connection.last_active_at > self._idle_s or is_slow):
                 connection.close()
-        self.loop.later(self._idle_s / 4, self._sweep)
+        self.loop.later(self._idle_s / 4, self._close_stale_connections)
--- a/tealhook/wire/__init__.py
+++ b/tealhook/wire/__init__.py
@@ -1,1 +1,4 @@
-"""Wire formats: messages of users, workers, cloud, state service and mesh. No I/O here."""
+"""Wire formats of all messages: with users, workers, the cloud, the state store and other controllers.
+
+This package only defines, encodes and decodes messages; it does no I/O.
+"""
--- a/tealhook/wire/cloud.py
+++ b/tealhook/wire/cloud.py
@@ -1,4 +1,4 @@
-"""Controllers -> cloud: machine types, rentals and the machine list."""
+"""Messages from controllers to the cloud and its answers: machine types, rentals and the machine list."""
 
 from __future__ import annotations
 
@@ -8,9 +8,9 @@
 
 from tealhook.wire.common import Resources
 
-MAX_RENTED_AT_ONCE = 50
-MAX_RELEASED_AT_ONCE = 100
-MACHINE_LIST_PAGE_SIZE = 500
+MAX_RENTED_AT_ONCE = 50  # machines in one rental request
+MAX_RELEASED_AT_ONCE = 100  # machines in one release request
+MACHINE_LIST_PAGE_SIZE = 500  # machines on one page of the list
 
 
 class MachineStatus(enum.StrEnum):
@@ -18,7 +18,7 @@
 
     STARTING = "starting"
     RUNNING = "running"
-    FAILED = "failed"  # stopped of its own accord; listed until it is released
+    FAILED = "failed"  # It stopped by itself and stays listed until it is released.
 
 
 class MachineType(msgspec.Struct):
@@ -41,18 +41,21 @@
         return Resources(self.vcpus, self.gpus, self.memory_gb)
 
     def fits(self, needed: Resources) -> bool:
-        """Whether one task that needs `needed` fits an empty machine of this type."""
+        """Check whether a task that needs these resources fits on an empty machine of this type."""
         return needed.vcpus <= self.vcpus and needed.gpus <= self.gpus and needed.memory_gb <= self.memory_gb
 
 
 class MachineTypes(msgspec.Struct):
-    """All types on offer."""
+    """All machine types that the cloud offers."""
 
     machine_types: list[MachineType] = msgspec.field(name="rigs")
 
 
 class RentalRequest(msgspec.Struct):
-    """A request for machines; `request_id` names it: repeating the request rents nothing more."""
+    """A request to rent machines.
+
+    Requests are idempotent by `request_id`: a repeated request rents no further machines.
+    """
 
     request_id: str = msgspec.field(name="ask")
     machine_type: str = msgspec.field(name="rig")
@@ -68,7 +71,7 @@
 
 
 class ListedMachine(msgspec.Struct):
-    """A machine as the (lagging) list shows it."""
+    """An entry of the machine list, which lags behind the actual state of the machines."""
 
     name: str = msgspec.field(name="name_id")
     machine_type: str = msgspec.field(name="rig")
@@ -80,7 +83,7 @@
 
 
 class MachineList(msgspec.Struct):
-    """One page of the machine list."""
+    """One page of the machine list; `more` tells whether further pages follow."""
 
     machines: list[ListedMachine] = msgspec.field(name="boxes")
     more: bool = False
--- a/tealhook/wire/common.py
+++ b/tealhook/wire/common.py
@@ -13,7 +13,7 @@
 
 
 class Resources(NamedTuple):
-    """Immutable amounts of resources: what a task needs, or what a machine has."""
+    """Amounts of resources, such as the needs of a task or the capacity of a machine."""
 
     vcpus: float
     gpus: float
@@ -29,10 +29,13 @@
 
 
 def decode_json(data: bytes) -> Any:
-    """Decode JSON into plain Python values; raises DecodeError."""
+    """Decode JSON into plain Python values.
+
+    Raises DecodeError if the data is not valid JSON.
+    """
     return _raw_decoder.decode(data)
 
 
 def error_body(text: str) -> bytes:
-    """The JSON body that goes with an error status."""
+    """Return the JSON body of an answer with an error status."""
     return _encoder.encode({"error": text})
--- a/tealhook/wire/mesh/__init__.py
+++ b/tealhook/wire/mesh/__init__.py
@@ -1,6 +1,6 @@
-"""Controllers <-> controllers. Every message is a tagged Struct in MessagePack.
+"""Messages between controllers. Every message is a tagged Struct that is encoded as MessagePack.
 
-The messages stand in a module for each of their groups, the envelope and the union of all messages in `envelope`.
+Each group of messages has a module; `envelope` defines the envelope and the union of all messages.
 """
 
 from tealhook.wire.mesh.capacity import (
--- a/tealhook/wire/mesh/capacity.py
+++ b/tealhook/wire/mesh/capacity.py
@@ -1,4 +1,4 @@
-"""Capacity of partitions: how many tasks of given requirements fit, and when."""
+"""Messages about the capacity of partitions for tasks of given requirements."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 class TaskRequirements(msgspec.Struct, array_like=True, frozen=True):
-    """The resources that a task needs, and which machines it may use; tasks with equal ones are placed alike."""
+    """The resources that a task needs and the machines it may use; tasks with equal requirements are placed alike."""
 
     vcpus: float
     gpus: float
@@ -20,15 +20,15 @@
 
 
 class PartitionRequest(msgspec.Struct):
-    """Base of all messages to the owner of a partition."""
+    """Base class of all requests to the owner of a zone's partition."""
 
     zone: str
 
 
 class Capacity(msgspec.Struct, array_like=True):
-    """How many tasks of given requirements fit now, with and without the image in the machine's cache.
+    """The numbers of tasks of given requirements that fit now, and the time until the next one fits.
 
-    `next_free_s`: seconds until the next of them fits.
+    `cached` counts tasks on machines that have the image in their cache, `uncached` those on other machines.
     """
 
     cached: int
@@ -38,13 +38,13 @@
 
 
 class CapacityRequest(PartitionRequest, tag="ask"):
-    """Asks a partition's owner how many tasks fit, and when the next one will."""
+    """A request for the number of tasks that fit in a partition, and for the time until the next one fits."""
 
     requirements: list[TaskRequirements] = msgspec.field(name="shapes")
 
 
 class CapacityReply(msgspec.Struct, tag="ask_r"):
-    """One capacity for each of the requirements, in their order, and the owner's fencing token."""
+    """The capacity for each of the requirements, in their order, and the owner's fencing token."""
 
     token: int
     capacities: list[Capacity] = msgspec.field(name="rooms")
--- a/tealhook/wire/mesh/envelope.py
+++ b/tealhook/wire/mesh/envelope.py
@@ -12,16 +12,16 @@
 from tealhook.wire.mesh.reconciliation import ReconcileReply, ReconcileRequest, StatusUpdate
 from tealhook.wire.mesh.reservations import ReserveReply, ReserveRequest
 
-MAX_FRAME_BYTES = 4 * 1024 * 1024  # bytes of an encoded envelope; a larger one ends the connection
+MAX_FRAME_BYTES = 4 * 1024 * 1024  # A larger encoded envelope ends the connection.
 NO_REPLY = 0  # the `call` of a message that expects no reply
 
 
 class Acknowledged(msgspec.Struct, tag="ok"):
-    """The request was carried out; there is nothing to return."""
+    """The reply to an executed request that has no result."""
 
 
 class Refused(msgspec.Struct, tag="no"):
-    """The receiver can't answer: it is not the owner, or the token is stale."""
+    """The reply of a receiver that can't execute the request: it is not the owner, or the token is stale."""
 
     reason: str = msgspec.field(name="why")
 
@@ -51,9 +51,10 @@
 
 
 class Envelope(msgspec.Struct, array_like=True):
-    """A message with its sender; `call` > 0: a request; < 0: the reply to request -call; or `NO_REPLY`.
+    """A message with its sender.
 
-    `incarnation` names the sender's process, `number` counts its messages.
+    `incarnation` identifies the sender's process, and `number` counts its messages. `call` is a positive number for a
+    request, its negative for the reply to that request, and `NO_REPLY` for a message without a reply.
     """
 
     sender: str
--- a/tealhook/wire/mesh/fleet.py
+++ b/tealhook/wire/mesh/fleet.py
@@ -1,4 +1,4 @@
-"""The fleet: demand and machines as its owner learns them, and what it has done with machines."""
+"""Messages to and from the owner of the fleet: demand, the state of machines, and releases of machines."""
 
 from __future__ import annotations
 
@@ -8,19 +8,19 @@
 
 
 class FenceRequest(msgspec.Struct, tag="fence"):
-    """Asks the fleet's owner to release machines, so that what ran on them has certainly ended."""
+    """A request to the fleet's owner to release machines, which guarantees that their tasks have ended."""
 
     machines: list[str]
 
 
 class MachinesReleased(msgspec.Struct, tag="gone"):
-    """These machines are released, and everything on them has ended."""
+    """A notice that machines are released, and that all tasks on them have ended."""
 
     machines: list[str]
 
 
 class Demand(msgspec.Struct, array_like=True):
-    """Waiting tasks of a team with the same requirements."""
+    """The number of tasks of a team with the same requirements."""
 
     team: str
     requirements: TaskRequirements
@@ -30,27 +30,27 @@
 
 
 class MachineState(msgspec.Struct, array_like=True):
-    """A machine as its partition's owner sees it, for the fleet's owner."""
+    """The state of a machine that its partition's owner reports to the fleet's owner."""
 
     name: str
     machine_type: str
     spot: bool
     used_cpus: float
-    empty_s: float  # estimated seconds until its tasks have ended
-    heartbeat_age_s: float  # seconds since its last heartbeat
+    empty_s: float  # estimated time until all of its tasks have ended
+    heartbeat_age_s: float  # time since its last heartbeat
     terminating: bool
-    drained: bool  # given nothing more, and empty
+    drained: bool  # It is empty and gets no more tasks.
     unhealthy: bool
 
 
 class DrainRequest(PartitionRequest, tag="drain"):
-    """Asks a partition's owner to place nothing more on machines that the fleet will release."""
+    """A request to a partition's owner to place no more tasks on machines that the fleet will release."""
 
     machines: list[str]
 
 
 class TeamUsage(msgspec.Struct, array_like=True):
-    """CPUs that a team's tasks take; `urgent_cpus`: those of jobs above standard priority."""
+    """The CPUs that a team's tasks use; `urgent_cpus` counts those of jobs above standard priority."""
 
     team: str
     cpus: float
--- a/tealhook/wire/mesh/forwarding.py
+++ b/tealhook/wire/mesh/forwarding.py
@@ -1,4 +1,4 @@
-"""Forwarding: requests of workers and users that another controller answers."""
+"""Messages that pass requests of workers and users on to another controller, and its answers back."""
 
 from __future__ import annotations
 
@@ -6,20 +6,20 @@
 
 
 class RelayRequest(msgspec.Struct, tag="relay"):
-    """A heartbeat taken on the owner's behalf from a worker that cannot reach the owner."""
+    """A heartbeat that was received on behalf of the owner, which the worker can't reach."""
 
     heartbeat: bytes = msgspec.field(name="report")
 
 
 class RelayReply(msgspec.Struct, tag="relay_r"):
-    """The owner's answer to a relayed heartbeat, to be passed on to the worker."""
+    """The owner's answer to a relayed heartbeat, which is passed on to the worker."""
 
     status: int
     body: bytes
 
 
 class ForwardRequest(msgspec.Struct, tag="forward"):
-    """A user's request taken by a node that the state service does not serve, for one that it does."""
+    """A user's request that a node without access to the state store forwards to a node with access."""
 
     method: str
     target: str
@@ -27,7 +27,7 @@
 
 
 class ForwardReply(msgspec.Struct, tag="forward_r"):
-    """The answer to a forwarded request, to be passed on to the user with its Retry-After header, if any."""
+    """The answer to a forwarded request, which is passed on to the user with its Retry-After header, if any."""
 
     status: int
     body: bytes
--- a/tealhook/wire/mesh/gossip.py
+++ b/tealhook/wire/mesh/gossip.py
@@ -1,4 +1,4 @@
-"""Gossip: the state that every controller sends to all others periodically."""
+"""The state that every controller periodically sends to all others."""
 
 from __future__ import annotations
 
@@ -10,14 +10,19 @@
 
 
 class JobProgress(NamedTuple):
-    """Numbers of a job's tasks."""
+    """The numbers of a job's tasks that are done and running."""
 
     done: int
     running: int
 
 
 class Gossip(msgspec.Struct, tag="gossip"):
-    """The state of one controller, sent to every other one periodically."""
+    """The state of one controller.
+
+    `progress` covers active jobs. `addresses` comes from the fleet's owner and maps zone -> machine -> address.
+    `blocked` and `placed` count tasks of jobs that may not use spot machines: those whose dependencies are expected to
+    end soon, and those that have a machine.
+    """
 
     node: str
     state_age_s: float = msgspec.field(name="state_age")
@@ -25,9 +30,7 @@
     usage: list[TeamUsage] = []
     demand: list[Demand] = []
     machines: dict[str, list[MachineState]] = msgspec.field(default_factory=dict, name="boxes")
-    progress: dict[str, JobProgress] = {}  # of active jobs
-    addresses: dict[str, dict[str, str]] = msgspec.field(
-        default_factory=dict, name="addrs"
-    )  # from the fleet's owner: zone -> machine -> address
-    blocked: list[Demand] = []  # of jobs that may not use spot machines: tasks soon to be released,
-    placed: list[Demand] = []  # and tasks that have a machine
+    progress: dict[str, JobProgress] = {}
+    addresses: dict[str, dict[str, str]] = msgspec.field(default_factory=dict, name="addrs")
+    blocked: list[Demand] = []
+    placed: list[Demand] = []
--- a/tealhook/wire/mesh/launches.py
+++ b/tealhook/wire/mesh/launches.py
@@ -1,4 +1,4 @@
-"""Launches and stops: what a team's scheduler has the owner of a partition do with recorded tasks."""
+"""Requests of a team's scheduler to a partition's owner to start and stop tasks with recorded assignments."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class TaskStart(msgspec.Struct, array_like=True):
-    """Use of a reservation, after the assignment is durable."""
+    """The start of a task on its reservation, after the assignment is durable."""
 
     reservation_id: int
     job: str
@@ -20,7 +20,7 @@
 
 
 class LaunchRequest(PartitionRequest, tag="launch"):
-    """Start tasks on reservations, once their assignments are recorded."""
+    """A request to start tasks on their reservations, sent after their assignments are recorded."""
 
     token: int
     team: str
@@ -29,9 +29,9 @@
 
 
 class LaunchReply(msgspec.Struct, tag="launch_r"):
-    """The reservations that were refused.
+    """The reply to a launch request, with the ids of the reservations that were refused.
 
-    Status updates with a higher `sequence` under this token include the launches that were taken.
+    Status updates with a higher `sequence` under this token include the accepted launches.
     """
 
     token: int
@@ -53,7 +53,7 @@
 
 
 class StopRequest(PartitionRequest, tag="stop"):
-    """Have the workers of a zone stop or forget attempts."""
+    """A request to have the workers of a zone stop or forget attempts."""
 
     team: str
     team_token: int = msgspec.field(name="home_token")
--- a/tealhook/wire/mesh/reconciliation.py
+++ b/tealhook/wire/mesh/reconciliation.py
@@ -1,4 +1,4 @@
-"""Reconciliation: what runs on machines, as a team's scheduler learns it from partition owners."""
+"""Messages by which a team's scheduler learns from partition owners which tasks run on machines."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class ObservedTask(msgspec.Struct, array_like=True):
-    """A task on a machine; `status`: as its worker reports it, or `LAUNCHING`."""
+    """A task on a machine with the status that its worker reported, or `LAUNCHING`."""
 
     job: str
     index: int
@@ -20,10 +20,10 @@
 
 
 class StatusUpdate(msgspec.Struct, tag="news"):
-    """All tasks of one team on one machine, as of its heartbeat (`session`, `heartbeat_sequence`).
+    """All tasks of one team on one machine, at the heartbeat that `session` and `heartbeat_sequence` identify.
 
-    `sequence` numbers the updates of a partition's owner under one token, since two connections may deliver them out
-    of order.
+    `sequence` numbers the updates that a partition's owner sends under one token, because two connections may deliver
+    them out of order.
     """
 
     zone: str
@@ -37,9 +37,10 @@
 
 
 class ReconcileRequest(PartitionRequest, tag="look"):
-    """A team's scheduler asks for the status of machines; its token ends launches by earlier owners of the team.
+    """A request of a team's scheduler for the status of machines.
 
-    `known_sequences`: the newest update that it has of each machine; only newer ones are sent. 0: all of them again.
+    The team's token ends launches by earlier owners of the team. `known_sequences` holds the sequence of the newest
+    known update for each machine: only newer updates are sent, and 0 requests all of them again.
     """
 
     team: str
@@ -49,10 +50,11 @@
 
 
 class ReconcileReply(msgspec.Struct, tag="look_r"):
-    """`silent_s`: seconds since each machine's last heartbeat; -1: none under this token.
+    """The reply to a reconcile request.
 
-    `mostly_reporting`: most of the partition's machines send heartbeats, so the machines that do not are not merely cut
-    off together with the partition.
+    `silent_s` holds the time since the last heartbeat of each machine, or -1 if none arrived under this token.
+    `mostly_reporting` means that most of the partition's machines send heartbeats, so the silent ones are not merely
+    cut off together with the whole partition.
     """
 
     token: int
--- a/tealhook/wire/mesh/reservations.py
+++ b/tealhook/wire/mesh/reservations.py
@@ -1,4 +1,4 @@
-"""Reservations: capacity that a partition's owner sets aside before tasks are assigned to it."""
+"""Messages that reserve capacity with a partition's owner before tasks are assigned to it."""
 
 from __future__ import annotations
 
@@ -8,7 +8,11 @@
 
 
 class ReservationRequest(msgspec.Struct, array_like=True):
-    """Asks for capacity for `count` tasks of one job with the same requirements."""
+    """The request of capacity for `count` tasks of one job with the same requirements.
+
+    `non_preemptible` tasks must not be stopped for others; it is set for the first task of a job that has waited for a
+    long time.
+    """
 
     job: str
     team: str
@@ -19,17 +23,17 @@
     avoided_machines: list[str]
     team_token: int
     may_preempt: bool
-    non_preemptible: bool  # not to be stopped for others: the first task of a job that has waited for long
+    non_preemptible: bool
 
 
 class ReserveRequest(PartitionRequest, tag="reserve"):
-    """Reserve capacity for tasks whose assignment is about to be recorded."""
+    """A request to reserve capacity for tasks whose assignments are about to be recorded."""
 
     requests: list[ReservationRequest] = msgspec.field(name="wants")
 
 
 class ReservationGrant(msgspec.Struct, array_like=True):
-    """Capacity reserved on a machine until it is used or expires."""
+    """Capacity that is reserved on a machine until it is used or the reservation expires."""
 
     reservation_id: int
     machine: str
@@ -38,7 +42,7 @@
 
 
 class ReserveReply(msgspec.Struct, tag="reserve_r"):
-    """The reservations made for each item of the request; fewer than requested where capacity is short."""
+    """The reservations for each item of the request, fewer than requested where capacity is short."""
 
     token: int
     grants: list[list[ReservationGrant]] = msgspec.field(name="slots")
--- a/tealhook/wire/state.py
+++ b/tealhook/wire/state.py
@@ -1,4 +1,4 @@
-"""Controllers -> state service: keys, transactions, leases and watches."""
+"""Messages from controllers to the state store and its answers: keys, transactions, leases and watches."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class KeyValue(msgspec.Struct):
-    """A key with its value, the revision of its last change, and the lease with which it ends, if any."""
+    """A key with its value, the revision of its last change, and the lease that it is deleted with, if any."""
 
     key: str = msgspec.field(name="path")
     value: Any = msgspec.field(name="v")
@@ -20,7 +20,7 @@
 
 
 class KeyRange(msgspec.Struct):
-    """One page of a list, as of a revision."""
+    """One page of a list of keys at a revision; `more` tells whether further pages follow."""
 
     items: list[KeyValue] = msgspec.field(name="rows")
     more: bool = False
@@ -28,32 +28,32 @@
 
 
 class Absent(msgspec.Struct):
-    """There is no such key as of a revision."""
+    """The answer that a key does not exist at a revision."""
 
     revision: int = msgspec.field(name="epoch")
 
 
 class LeaseGranted(msgspec.Struct):
-    """The id of a new lease."""
+    """The answer to a request for a new lease."""
 
     lease_id: int = msgspec.field(name="hold")
 
 
 class Committed(msgspec.Struct):
-    """A transaction was executed, as a revision of its own."""
+    """The answer to an executed transaction, with the revision that it created."""
 
     revision: int = msgspec.field(name="epoch")
 
 
 class Conflict(msgspec.Struct):
-    """A transaction was not executed; `failed_keys`: those whose conditions failed."""
+    """The answer to a transaction that was not executed, with the keys whose conditions failed."""
 
     failed_keys: list[str] = msgspec.field(name="failed")
     revision: int = msgspec.field(default=0, name="epoch")
 
 
 class WatchEvent(msgspec.Struct):
-    """A change of one key, which was put or deleted."""
+    """A change of one key, which was either put or deleted."""
 
     put_key: str | None = msgspec.field(default=None, name="write")
     deleted_key: str | None = msgspec.field(default=None, name="drop")
@@ -62,12 +62,12 @@
 
     @property
     def key(self) -> str:
-        """The key that changed."""
+        """The key that was put or deleted."""
         return self.put_key or self.deleted_key or ""
 
 
 class WatchReply(msgspec.Struct):
-    """All changes since the requested revision, up to `revision`."""
+    """All changes after the requested revision up to and including `revision`."""
 
     revision: int = msgspec.field(name="epoch")
     events: list[WatchEvent] = []
@@ -82,11 +82,12 @@
 watch_reply_decoder = msgspec.json.Decoder(WatchReply)
 
 
-Conditions = dict[str, int]  # key -> the revision of its last change that it must have; 0: it must not exist
+# Key -> the required revision of its last change; 0 requires that the key does not exist.
+Conditions = dict[str, int]
 
 
 class Put(msgspec.Struct, omit_defaults=True):
-    """An operation that sets a key; with a lease, the key is deleted when the lease ends."""
+    """An operation that sets a key, which is deleted when its lease ends if it has one."""
 
     key: str = msgspec.field(name="write")
     value: Any = msgspec.field(name="v")
@@ -113,15 +114,15 @@
 
 
 def put(key: str, value: Any, lease_id: int | None = None) -> Put:
-    """The operation that sets `key` to `value`."""
+    """Return the operation that sets `key` to `value`."""
     return Put(key, value, lease_id)
 
 
 def delete(key: str) -> Delete:
-    """The operation that deletes `key`."""
+    """Return the operation that deletes `key`."""
     return Delete(key)
 
 
 def encode_transaction(conditions: Conditions, operations: Sequence[Operation]) -> bytes:
-    """The body of a transaction: it executes all operations, or none where a condition fails."""
+    """Encode a transaction, which executes all operations if all conditions hold and none otherwise."""
     return encode_json(_Transaction([_Condition(key, revision) for key, revision in conditions.items()], operations))
--- a/tealhook/wire/users.py
+++ b/tealhook/wire/users.py
@@ -1,6 +1,6 @@
-"""Users -> controllers: jobs as submitted, and the answers about them.
+"""Messages from users to controllers and the answers: submissions, polls and cancellations of jobs.
 
-Field names are the field's terms; `name=` gives the name that the protocol has for each of them.
+`name=` gives the name of a field in the protocol where it differs from the attribute.
 """
 
 from __future__ import annotations
@@ -13,21 +13,21 @@
 from tealhook.wire.common import Resources
 
 SUBMIT_PATH = "/work"
-JOB_PATH_PREFIX = "/work/"  # before the id of the job
-CANCEL_SUFFIX = "/abort"  # after the id of the job
+JOB_PATH_PREFIX = "/work/"  # followed by the id of the job
+CANCEL_SUFFIX = "/abort"  # follows the id of the job
 _JOB_ID = re.compile(r"req-[0-9A-Za-z_.-]{1,64}\Z")
 
 
 class JobKind(enum.StrEnum):
-    """How the tasks of a job belong together."""
+    """The kind of a job, which decides how its tasks are started and end."""
 
-    ARRAY = "array"  # independent tasks, each runs to completion
-    GANG = "group"  # all tasks start together, or none does
-    SERVICE = "service"  # runs until it is cancelled
+    ARRAY = "array"  # The tasks are independent, and each runs to completion.
+    GANG = "group"  # All tasks start together or not at all.
+    SERVICE = "service"  # The tasks run until the job is cancelled.
 
 
 class JobPriority(enum.StrEnum):
-    """How urgent a job is, the least first. Not the priority of a call to the state service."""
+    """The priority of a job, from lowest to highest; calls to the state store have priorities of their own."""
 
     LOW = "low"
     STANDARD = "standard"
@@ -36,7 +36,7 @@
 
     @property
     def rank(self) -> int:
-        """The position among all priorities, by which they are compared."""
+        """The position among all priorities, which are compared by it."""
         return PRIORITY_RANK[self]
 
 
@@ -45,16 +45,16 @@
 
 
 class DisplayedStatus(enum.StrEnum):
-    """The status of an active job as its user sees it; a job that has ended has the status of its record."""
+    """The status of an active job that is shown to users; an ended job has the status of its record."""
 
     PENDING = "pending"
     RUNNING = "running"
 
 
 class JobSpec(msgspec.Struct, omit_defaults=True):
-    """A submission, field by field as users send it.
+    """A submission with the fields that users send.
 
-    Job records hold it without what has its default, so it is read more leniently than `parse_job` reads users.
+    Job records leave out fields that have their defaults, so this type accepts missing fields that `parse_job` rejects.
     """
 
     job_id: str = msgspec.field(name="name_id")
@@ -81,12 +81,12 @@
 
     @property
     def resources(self) -> Resources:
-        """What one task takes of its machine."""
+        """The resources that one task takes on its machine."""
         return Resources(self.vcpus, self.gpus, self.memory_gb)
 
 
 class JobStatus(msgspec.Struct, omit_defaults=True):
-    """The answer to a poll, a submission or a cancellation."""
+    """The answer to a poll, a submission or a cancellation, with numbers of tasks where they are known."""
 
     job_id: str = msgspec.field(name="name_id")
     status: str
@@ -95,5 +95,5 @@
 
 
 def is_valid_job_id(text: str) -> bool:
-    """Whether `text` has the form of a job id."""
+    """Check whether `text` has the form of a job id."""
     return bool(_JOB_ID.match(text))
--- a/tealhook/wire/workers.py
+++ b/tealhook/wire/workers.py
@@ -1,6 +1,6 @@
-"""Workers <-> controllers: heartbeats, commands and the answers to both.
+"""Messages between workers and controllers: heartbeats, commands and the answers to both.
 
-Field names are the field's terms; `name=` gives the name that the protocol has for each of them.
+`name=` gives the name of a field in the protocol where it differs from the attribute.
 """
 
 from __future__ import annotations
@@ -26,7 +26,7 @@
 
 
 class ExitCause(enum.StrEnum):
-    """Why a task has exited, or was not started."""
+    """The reason why a task exited or was not started."""
 
     DONE = "done"
     STOPPED = "halted"
@@ -37,7 +37,7 @@
 
 
 class CommandAction(enum.StrEnum):
-    """What a worker is to do with a task."""
+    """The action that a command asks of a worker."""
 
     START = "launch"
     STOP = "kill"
@@ -45,7 +45,7 @@
 
 
 class TaskReport(msgspec.Struct, omit_defaults=True):
-    """One task on a machine as its worker reports it."""
+    """The status of one task in a worker's heartbeat."""
 
     task_id: str = msgspec.field(name="play")
     attempt: int = msgspec.field(name="try")
@@ -55,7 +55,7 @@
 
 
 class Heartbeat(msgspec.Struct):
-    """A worker's heartbeat, with the status of all tasks on its machine."""
+    """A worker's heartbeat with the status of all tasks on its machine."""
 
     machine: str = msgspec.field(name="box")
     address: str = msgspec.field(name="addr")
@@ -70,7 +70,7 @@
 
 
 class Command(msgspec.Struct, omit_defaults=True):
-    """A command to a worker."""
+    """A command to a worker about one attempt of a task."""
 
     action: str = msgspec.field(name="verb")
     task_id: str = msgspec.field(name="play")
@@ -79,7 +79,7 @@
 
 
 class CommandBatch(msgspec.Struct, omit_defaults=True):
-    """Commands under a fencing token; `session` only on direct commands."""
+    """Commands under a fencing token; only commands that are sent outside heartbeat answers have a `session`."""
 
     fencing_token: int = msgspec.field(name="baton")
     commands: list[Command] = msgspec.field(name="orders")
@@ -87,7 +87,7 @@
 
 
 class Redirection(msgspec.Struct):
-    """The body of a 421 answer: the controller that owns the partition, by its name."""
+    """The body of a 421 answer, which names the controller that owns the partition."""
 
     owner: str = msgspec.field(name="boss")
 
@@ -96,9 +96,9 @@
 command_batch_decoder = msgspec.json.Decoder(CommandBatch)
 
 
-def parse_task_id(task: str) -> tuple[str, int] | None:
-    """`req-000412/3` -> (`req-000412`, 3); None when it has another form."""
-    job, _, index = task.rpartition("/")
+def parse_task_id(task_id: str) -> tuple[str, int] | None:
+    """Split a task id such as `req-000412/3` into job id and index, or return None if it has another form."""
+    job, _, index = task_id.rpartition("/")
     if not job or not index.isdecimal() or len(index) > MAX_TASK_INDEX_DIGITS:
         return None
     return job, int(index)
